--- a/thornladder/measures/membership.py
+++ b/thornladder/measures/membership.py
@@ -98,9 +98,12 @@
          for count in Counter((e["by"], e["of"]) for e in views(told, since, until)
                               if not (since == c.START and e["by"] == names[1])).values()), default=0,
     )  # fmt: skip
-    ways = [way for by, of in ((names[0], names[-1]), (names[-1], names[0]))
-            for at, _, way in told["views"].get(by, {}).get(of, [])
-            if c.ONE_SIDED <= at < c.ONE_SIDED_END + 1]
+    ways = [
+        way
+        for by, of in ((names[0], names[-1]), (names[-1], names[0]))
+        for at, _, way in told["views"].get(by, {}).get(of, [])
+        if c.ONE_SIDED <= at < c.ONE_SIDED_END + 1
+    ]
     back = [each["at"] for each in views(told, c.LONG_CUT_END, c.HALF)]
     again = [each["at"] for each in views(told, c.HALF_START, c.LOSS)]
     paused = names[told["seed"] % size]
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -222,9 +222,7 @@
         return repr(error)
 
 
-def on_processes(
-    points: Points, pool: ProcessPoolExecutor, full: bool, only: Sequence[str] = ()
-) -> None:
+def on_processes(points: Points, pool: ProcessPoolExecutor, full: bool, only: Sequence[str] = ()) -> None:
     counted = counting()
     made = {name: plan for name, plan in plays(full).items() if not only or name in only}
     done = dict(zip(made, pool.map(played, made, made.values()), strict=True))
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -115,9 +115,7 @@
                 self.drained.discard(backend)
                 self.addresses.pop(backend, None)
 
-    def start(
-        self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf
-    ) -> None:
+    def start(self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf) -> None:
         number, scope = exchange.open_push()
         scope.deadline = anyio.current_time() + time_out
         by = self.clock() + begin_in
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -647,5 +647,3 @@
     finally:
         if keep is None:
             shutil.rmtree(folder, ignore_errors=True)
-
-
--- a/thornladder/rig/relay.py
+++ b/thornladder/rig/relay.py
@@ -127,9 +127,7 @@
                 return
             await self._both_ways(sender, target, stream, (self.ends[target].own, PORT))
 
-    async def _both_ways(
-        self, sender: str, target: str, stream: SocketStream, own: tuple[str, int]
-    ) -> None:
+    async def _both_ways(self, sender: str, target: str, stream: SocketStream, own: tuple[str, int]) -> None:
         try:
             onward = await anyio.connect_tcp(*own)
             async with onward, anyio.create_task_group() as group:
--- a/thornladder/rollout/explore.py
+++ b/thornladder/rollout/explore.py
@@ -174,5 +174,3 @@
             finally:
                 self.plan = whole
         return super()._claim(seen)
-
-
--- a/thornladder/rollout/virtual.py
+++ b/thornladder/rollout/virtual.py
@@ -280,5 +280,3 @@
         count += 1
         product *= chance.random()
     return count
-
-
--- a/thornladder/shares/explore.py
+++ b/thornladder/shares/explore.py
@@ -58,9 +58,20 @@
                 sorted((key, [(e.seq, e.parts, round(e.ends - self.now, 2)) for e in each.entries])
                        for key, each in reign.accounts.items()), reign.limbo,
             )  # fmt: skip
-            parts.append((name, core.birth, core.promised, core.held, core.holdings[0].part,
-                          core.holdings[0].leased.look(self.now), round(core.lease_end - self.now, 2),
-                          round(core.promise_until - self.now, 2), round(core.due - self.now, 2), rule))
+            parts.append(
+                (
+                    name,
+                    core.birth,
+                    core.promised,
+                    core.held,
+                    core.holdings[0].part,
+                    core.holdings[0].leased.look(self.now),
+                    round(core.lease_end - self.now, 2),
+                    round(core.promise_until - self.now, 2),
+                    round(core.due - self.now, 2),
+                    rule,
+                )
+            )
         flying = [(f.target, f.birth, f.message.kind, f.message.term, f.message.seq, f.message.parts,
                    f.message.cans, round(f.message.echo - self.now, 2)) for f in self.flying]  # fmt: skip
         dead = [(round(until - self.now, 2), used) for until, used in self.dead]
