--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,8 +13,8 @@
 from test_process import RUN
 
 from thornladder.interface import Entry, ListKind, State
-from thornladder.node.admin.calls import MOST_BODY
-from thornladder.node.admin.server import Admin
+from thornladder.node.admin.calls import MAX_BODY_BYTES
+from thornladder.node.admin.server import AdminServer
 from thornladder.node.clients.front import Front
 from thornladder.node.handover import Marks, Sheet
 from thornladder.node.maintenance import Maintenance, Mark
@@ -67,7 +67,7 @@
     "text, status",
     [(b"", 400), (b"{", 400), (b"[]", 400), (b"{}", 400), (body(3), 400), (body(""), 400), (body(None), 400),
      (b'{"host": "s0"', 400), (b"\xff\xfe", 400), (body("x" * 300), 400), (body("nobody"), 404),
-     (b" " * (MOST_BODY + 1), 413)],
+     (b" " * (MAX_BODY_BYTES + 1), 413)],
     ids=[str(number) for number in range(12)],
 )  # fmt: skip
 async def test_maintenance_of_what_is_no_backend_is_a_no(text: bytes, status: int) -> None:
@@ -83,7 +83,7 @@
     text = body("s0")
     raw = b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
     async with Bank(done, done, sockets=80) as bank:
-        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * Admin.MOST)]
+        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * AdminServer.MOST)]
         for each in crowd[::2]:
             await each.send(b"POST /sta")
         async with await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
@@ -101,7 +101,7 @@
 
 
 async def test_a_call_that_does_not_come_whole_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Admin, "WHOLE", 0.1)
+    monkeypatch.setattr(AdminServer, "WHOLE", 0.1)
     async with Bank(done) as bank, await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
         await stream.send(
             b"POST /standby HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -15,7 +15,7 @@
 from thornladder import settings
 from thornladder.fields import Malformed
 from thornladder.node import service
-from thornladder.node.companion import Companion
+from thornladder.node.companion import NodeExtension
 from thornladder.node.messages import NO_LIST, decode_list
 
 
@@ -33,7 +33,7 @@
     )
 
 
-def main(companions: Sequence[Companion] = ()) -> int:
+def main(extensions: Sequence[NodeExtension] = ()) -> int:
     """Runs one node to its end; its exit code: 0 ended in order, 1 no address to be had, 2 a bad file."""
     # Kept back until the node heeds it: it would end a program that is still starting.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
@@ -52,7 +52,7 @@
     gc.freeze()
     try:
         log = structlog.get_logger()
-        anyio.run(service.run, config, known, log, path, companions, backend_options={"use_uvloop": True})
+        anyio.run(service.run, config, known, log, path, extensions, backend_options={"use_uvloop": True})
     except OSError as error:
         print(f"thornladder: {error}", file=sys.stderr)
         return 1
--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -34,22 +34,22 @@
     """Run one node in the foreground until SIGTERM; without options as `python -m thornladder` does."""
     from thornladder.__main__ import main
 
-    companions: list[Any] = []
+    extensions: list[Any] = []
     if counters:
         from thornladder.rollout.counters import Counters
 
-        companions.append(Counters())
+        extensions.append(Counters())
     if fleet:
         from thornladder.membership.companion import Membership
         from thornladder.membership.config import load
 
         try:
-            companions.append(Membership(load(fleet)))
+            extensions.append(Membership(load(fleet)))
         except Malformed as error:
             refuse(f"{fleet}: {error}")
     if config:
         os.environ["EDGE_CONFIG"] = config
-    raise typer.Exit(main(companions))
+    raise typer.Exit(main(extensions))
 
 
 @app.command()
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -17,10 +17,10 @@
 from thornladder.membership.count import Count
 from thornladder.membership.transport import Transport
 from thornladder.membership.wire import State, split_address
-from thornladder.node.admin.calls import Call, Verdict, no
+from thornladder.node.admin.calls import AdminRequest, AdminResponse, error_response
 from thornladder.node.clients.connection import Taker
 from thornladder.node.clients.early import Decide
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.handover import Sheet
 
 LOOK = 0.1  # seconds between looks whether the other process of this node still is the member
@@ -55,21 +55,21 @@
         self.core: Core | None = None
         self.transport: Transport | None = None
 
-    def calls(self) -> Mapping[str, Further]:
-        return {"/members": Further(b"GET", self.members)}
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
+        return {"/members": ExtensionEndpoint(b"GET", self.members)}
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
+    def wrap(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
         return taker, decide
 
-    def start(self, around: Surroundings) -> None:
-        self.around, self.log = around, around.log
-        self.count = Count(around.nodes, self.config.hold, self.config.lower_after)
+    def start(self, context: NodeContext) -> None:
+        self.context, self.log = context, context.log
+        self.count = Count(context.configured_nodes, self.config.hold, self.config.lower_after)
         self.scope = anyio.CancelScope()
-        around.tasks.keep("membership", self._run)
+        context.tasks.keep("membership", self._run)
 
-    async def leave(self, succeeded: bool) -> None:
+    async def stop(self, has_successor: bool) -> None:
         """An upgrade goes on as the same member; else the others are told."""
-        if self.core is not None and self.transport is not None and not succeeded:
+        if self.core is not None and self.transport is not None and not has_successor:
             self.core.leave(time.monotonic())
             self.transport.say()
             await anyio.sleep(LAST)
@@ -77,7 +77,7 @@
 
     async def _run(self) -> None:
         with self.scope:
-            seat = Seat(self.around.folder, self.around.name)
+            seat = Seat(self.context.folder, self.context.name)
             while (held := seat.take()) is None:
                 await anyio.sleep(LOOK)
             try:
@@ -93,7 +93,7 @@
                 os.close(held)
 
     async def _take_part(self) -> None:
-        config, name = self.config, self.around.name
+        config, name = self.config, self.context.name
         chance = Random(secrets.randbits(64))  # the number that tells this process apart must not repeat
         address = config.advertise or config.listen
         core = Core(name, address, config.fleet, config.seeds, chance, time.monotonic(), zone=config.zone)
@@ -115,15 +115,15 @@
             nodes = self.count.look(self.core)
             if nodes != told:
                 self.log.info("nodes of the fleet", nodes=nodes, was=told)
-                self.around.set_nodes(nodes)
+                self.context.set_node_count(nodes)
                 told = nodes
             await anyio.sleep(COUNT)
 
-    def members(self, call: Call) -> Verdict:
+    def members(self, call: AdminRequest) -> AdminResponse:
         core, transport = self.core, self.transport
         if core is None or transport is None:
-            return no(503, "another process of this node is the member")
-        return Verdict(200, {
+            return error_response(503, "another process of this node is the member")
+        return AdminResponse(200, {
             "fleet": self.config.fleet, "name": core.name, "process": f"{core.start}.{core.birth:08x}",
             "nodes": self.count.nodes, "joined": core.joined, "alone": core.alone, "deaf": core.deaf,
             "late": core.counts.late, "accused": core.counts.accused, "refuted": core.counts.refuted,
--- a/thornladder/node/admin/server.py
+++ b/thornladder/node/admin/server.py
@@ -8,7 +8,14 @@
 
 import anyio
 
-from thornladder.node.admin.calls import MOST_BODY, NOTHING, Call, Reader, Verdict, no
+from thornladder.node.admin.calls import (
+    MAX_BODY_BYTES,
+    NOTHING,
+    AdminRequest,
+    AdminResponse,
+    RequestReader,
+    error_response,
+)
 from thornladder.node.tasks import Tasks
 
 
@@ -16,20 +23,24 @@
     """One connection: one call and its answer."""
 
     def __init__(self, raw: socket.socket, further: Mapping[str, bytes], most: int) -> None:
-        self.raw, self.reader = raw, Reader(further, most)
+        self.raw, self.reader = raw, RequestReader(further, most)
         self.scope = anyio.CancelScope()
 
 
-class Admin:
+class AdminServer:
     MOST = 24  # callers at once: staff and their scripts are few; what is silent beyond that gives way
     DESCRIPTORS = MOST + 2  # with the listener, and the one that comes while another gives way
     WHOLE = 2.0  # seconds for a call to come whole: a line or two over any network
     TAKEN = 1.0  # seconds for its answer to be taken
 
     def __init__(
-        self, act: Callable[[Call], Verdict], tasks: Tasks, log: Any, further: Mapping[str, bytes] = NOTHING,
-        most: int = MOST_BODY,
-    ) -> None:  # fmt: skip
+        self,
+        act: Callable[[AdminRequest], AdminResponse],
+        tasks: Tasks,
+        log: Any,
+        further: Mapping[str, bytes] = NOTHING,
+        most: int = MAX_BODY_BYTES,
+    ) -> None:
         """`act` carries a call out at once and must not wait; `further`: methods of more calls, by path.
 
         `most`: bytes of a call's body.
@@ -82,22 +93,22 @@
             self.callers.pop(caller, None)
             caller.raw.close()
 
-    async def _call(self, caller: Caller) -> Verdict:
-        told: Call | Verdict | None = None
+    async def _call(self, caller: Caller) -> AdminResponse:
+        told: AdminRequest | AdminResponse | None = None
         with anyio.move_on_after(self.WHOLE):
             while told is None:
                 told = caller.reader.take(await self._receive(caller.raw))
                 if told is None and (more := caller.reader.wants_more()):
                     await self._send(caller.raw, more)
         if told is None:
-            return no(408, "it did not come whole")
-        if isinstance(told, Verdict):
+            return error_response(408, "it did not come whole")
+        if isinstance(told, AdminResponse):
             return told
         try:
             return self.act(told)
         except Exception:
-            self.log.exception("a call could not be carried out", call=told.name.value)
-            return no(500, "it could not be carried out")
+            self.log.exception("a call could not be carried out", call=told.endpoint.value)
+            return error_response(500, "it could not be carried out")
 
     async def _receive(self, raw: socket.socket) -> bytes:
         while True:
--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -9,45 +9,45 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, Protocol
 
-from thornladder.node.admin.calls import Call, Verdict
+from thornladder.node.admin.calls import AdminRequest, AdminResponse
 from thornladder.node.clients.connection import Taker
 from thornladder.node.clients.early import Decide
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
 
 
-class Further(NamedTuple):
+class ExtensionEndpoint(NamedTuple):
     """A call at the second address that a companion answers, at once."""
 
     method: bytes
-    act: Callable[[Call], Verdict]
+    handler: Callable[[AdminRequest], AdminResponse]
 
 
-class Surroundings(NamedTuple):
+class NodeContext(NamedTuple):
     """What a companion has of its node."""
 
     name: str
     seed: int
     folder: str  # private to the node, shared by its processes
-    nodes: int  # as the settings say
+    configured_nodes: int  # as the settings say
     admin: Address | None
     tasks: Tasks
     log: Any
-    set_nodes: Callable[[int], None]  # of how many nodes this is one, from now on
+    set_node_count: Callable[[int], None]  # of how many nodes this is one, from now on
     settings: Callable[[], dict[str, Any]]  # that are in force, in the operators' form
 
 
-class Companion(Protocol):
+class NodeExtension(Protocol):
     descriptors: int  # that it may hold at once
 
-    def calls(self) -> Mapping[str, Further]:
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         """By path."""
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
+    def wrap(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
         """Who takes invocations and who turns them away unread: the same two, or such that look on."""
 
-    def start(self, around: Surroundings) -> None:
+    def start(self, context: NodeContext) -> None:
         """Once, from within the node's event loop, before the node serves."""
 
-    async def leave(self, succeeded: bool) -> None:
+    async def stop(self, has_successor: bool) -> None:
         """The node has answered all that it had and ends; `succeeded`: another process of it goes on."""
--- a/thornladder/node/operations.py
+++ b/thornladder/node/operations.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from thornladder.node.admin.calls import Call, Name, Verdict, no
+from thornladder.node.admin.calls import AdminRequest, AdminResponse, Endpoint, error_response
 from thornladder.node.clients.front import Front
-from thornladder.node.companion import Further
+from thornladder.node.companion import ExtensionEndpoint
 from thornladder.node.host import NodeHost
 from thornladder.node.maintenance import Mark
 
-NOTHING: Mapping[str, Further] = {}
+NOTHING: Mapping[str, ExtensionEndpoint] = {}
 
 
 class Operations:
@@ -21,7 +21,7 @@
         front: Front,
         keep: Callable[[dict[str, Mark]], None],
         log: Any,
-        further: Mapping[str, Further] = NOTHING,
+        further: Mapping[str, ExtensionEndpoint] = NOTHING,
     ) -> None:
         """`keep` writes the marks of maintenance down; until it has, nothing is answered yes.
 
@@ -30,18 +30,18 @@
         self.further = further
         self.host, self.front, self.keep, self.log = host, front, keep, log
 
-    def __call__(self, call: Call) -> Verdict:
-        if call.name is Name.FURTHER:
-            return self.further[call.path].act(call)
-        if call.name is Name.STATUS:
+    def __call__(self, call: AdminRequest) -> AdminResponse:
+        if call.endpoint is Endpoint.EXTENSION:
+            return self.further[call.path].handler(call)
+        if call.endpoint is Endpoint.STATUS:
             return self.status()
-        if call.name is Name.STANDBY:
+        if call.endpoint is Endpoint.STANDBY:
             return self.stand_by(True)
-        if call.name is Name.ACTIVE:
+        if call.endpoint is Endpoint.ACTIVE:
             return self.stand_by(False)
-        return self.mark(call.backend, call.name is Name.ENTER)
+        return self.mark(call.backend_id, call.endpoint is Endpoint.ENTER_MAINTENANCE)
 
-    def status(self) -> Verdict:
+    def status(self) -> AdminResponse:
         ready = self.host.list_known and self.front.open
         facts = {
             "ready": ready, "standby": self.front.desk.standby, "leaving": self.front.desk.leaving,
@@ -49,20 +49,20 @@
             "maintenance": self.host.maintenance.out, "connections": len(self.front.connections),
             "in_hand": len(self.host.exchanges), "blind_since": self.host.blind_since,
         }  # fmt: skip
-        return Verdict(200 if ready else 503, facts)
+        return AdminResponse(200 if ready else 503, facts)
 
-    def stand_by(self, standby: bool) -> Verdict:
+    def stand_by(self, standby: bool) -> AdminResponse:
         if self.front.desk.leaving:
-            return no(503, "this process is leaving")
+            return error_response(503, "this process is leaving")
         if standby != self.front.desk.standby:
             self.front.stand_by(standby)
             self.log.info("standby" if standby else "active")
-        return Verdict(200, {"standby": standby})
+        return AdminResponse(200, {"standby": standby})
 
-    def mark(self, backend: str, out: bool) -> Verdict:
+    def mark(self, backend: str, out: bool) -> AdminResponse:
         maintenance = self.host.maintenance
         if not maintenance.knows(backend):
-            return no(404, "no such backend")
+            return error_response(404, "no such backend")
         before = maintenance.marks.get(backend)
         if out != (before is not None and before.out):
             now = self.host.clock()
@@ -71,7 +71,7 @@
                 self.keep({backend: mark})
             except OSError as error:
                 self.log.warning("maintenance could not be written down", error=repr(error))
-                return no(503, "it could not be written down")
+                return error_response(503, "it could not be written down")
             self.host.mark({backend: mark})
             self.log.info("out for maintenance" if out else "back from maintenance", backend=backend)
-        return Verdict(200, {"host": backend, "maintenance": out})
+        return AdminResponse(200, {"host": backend, "maintenance": out})
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -14,12 +14,12 @@
 
 from thornladder import settings
 from thornladder.fields import Malformed
-from thornladder.node.admin.server import Admin
+from thornladder.node.admin.server import AdminServer
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import Pushes
 from thornladder.node.clients.connection import Desk
 from thornladder.node.clients.front import Front
-from thornladder.node.companion import Companion, Surroundings
+from thornladder.node.companion import NodeContext, NodeExtension
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Phase, Places, Seen
 from thornladder.node.host import Clock, NodeHost
@@ -39,7 +39,7 @@
 
 
 async def run(
-    config: Config, known: ListAnswer, log: Any, path: str = "", companions: Sequence[Companion] = ()
+    config: Config, known: ListAnswer, log: Any, path: str = "", extensions: Sequence[NodeExtension] = ()
 ) -> None:
     """`path` names the file that the configuration came from, to be read again on SIGHUP."""
     clock = Clock()
@@ -49,7 +49,7 @@
         listener = socket.socket(fileno=config.inherited)
         listener.setblocking(False)
     second = _listener(config.admin) if config.admin else None
-    kept = SPARE + (Admin.DESCRIPTORS if second else 0) + sum(each.descriptors for each in companions)
+    kept = SPARE + (AdminServer.DESCRIPTORS if second else 0) + sum(each.descriptors for each in extensions)
     sockets = max(config.sockets - kept, 8)
     clients = round(CLIENTS * sockets)
     async with anyio.create_task_group() as group:
@@ -68,26 +68,26 @@
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
         taker, decide = host, host.turns_away
-        for each in companions:
-            taker, decide = each.between(taker, decide)
+        for each in extensions:
+            taker, decide = each.wrap(taker, decide)
         desk = Desk(taker, host.node.offerings, clock, held, lambda: host.lag.late, decide, log)
         asking = max(round(ASKING * config.sockets), 4)
         front = Front(desk, clients, tasks, config.inherited is not None, asking)
-        further = {path: call for each in companions for path, call in each.calls().items()}
+        further = {path: call for each in extensions for path, call in each.admin_endpoints().items()}
         operations = Operations(host, front, handover.marks.add, log, further)
         tasks.keep("a look at idle connections", _sweep, front, pushes)
         tasks.keep("the handover", handover.run, host, front, pool, held)
-        around = Surroundings(
+        context = NodeContext(
             config.name, config.seed, config.folder, config.decisions["nodes"], config.admin, tasks, log,
             partial(handover.count, host), lambda: reload.config.raw["settings"],
         )  # fmt: skip
         reload = Reload(path, config, Parts(host, desk, pushes, watch, handover), log)
-        for each in companions:
-            each.start(around)
-        await group.start(_heed_signals, front, reload, handover, tasks, log, companions)
+        for each in extensions:
+            each.start(context)
+        await group.start(_heed_signals, front, reload, handover, tasks, log, extensions)
         tasks.start("opening the door", _open, front, host, handover, tasks, listener)
         if second:
-            admin = Admin(operations, tasks, log, {path: call.method for path, call in further.items()})
+            admin = AdminServer(operations, tasks, log, {path: call.method for path, call in further.items()})
             tasks.keep("taking operators' calls", admin.run, second)
         log.info(
             "serving", name=config.name, listen=list(listener.getsockname()), backends=len(known.entries),
@@ -263,7 +263,7 @@
     handover: Handover,
     tasks: Tasks,
     log: Any,
-    companions: Sequence[Companion],
+    extensions: Sequence[NodeExtension],
     *,
     task_status: TaskStatus,
 ) -> None:
@@ -281,15 +281,15 @@
                 leaving = True
                 handover.leave(front)
                 log.info("leaving", signal=number.name)
-                tasks.start("leaving", _leave, front, tasks, log, companions)
+                tasks.start("leaving", _leave, front, tasks, log, extensions)
 
 
-async def _leave(front: Front, tasks: Tasks, log: Any, companions: Sequence[Companion]) -> None:
+async def _leave(front: Front, tasks: Tasks, log: Any, extensions: Sequence[NodeExtension]) -> None:
     try:
         await front.leave()
-        for each in companions:
+        for each in extensions:
             with anyio.move_on_after(LAST_WORD):
-                await each.leave(front.desk.succeeded)
+                await each.stop(front.desk.succeeded)
         log.info("left")
     finally:
         tasks.end()
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -15,7 +15,7 @@
 
 from thornladder.node.clients.connection import Taker
 from thornladder.node.clients.early import Decide
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import Answer, Ending
 
@@ -31,18 +31,18 @@
         self.count = 0
         self.held: list[bytearray] = []
 
-    def calls(self) -> Mapping[str, Further]:
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {}
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
+    def wrap(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
         self.taker = taker
         self.whole, self.stuck, self.client_gone = taker.whole, taker.stuck, taker.client_gone
         return self, decide
 
-    def start(self, around: Surroundings) -> None:
-        around.tasks.start("a planted fault", self._run)
+    def start(self, context: NodeContext) -> None:
+        context.tasks.start("a planted fault", self._run)
 
-    async def leave(self, succeeded: bool) -> None:
+    async def stop(self, has_successor: bool) -> None:
         """Nothing."""
 
     async def _run(self) -> None:
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -19,10 +19,10 @@
 from hdrh.histogram import HdrHistogram
 
 from thornladder.membership.wire import VERSION
-from thornladder.node.admin.calls import Call, Verdict
+from thornladder.node.admin.calls import AdminRequest, AdminResponse
 from thornladder.node.clients.connection import Taker
 from thornladder.node.clients.early import Decide
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import Answer, Ending
 
@@ -64,10 +64,10 @@
         self.targets: dict[str, float] = {}  # seconds, by offering in force; of others nothing is late
         self._held: tuple[Any, str] = (None, "")
 
-    def calls(self) -> Mapping[str, Further]:
-        return {"/counters": Further(b"GET", self.snapshot)}
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
+        return {"/counters": ExtensionEndpoint(b"GET", self.snapshot)}
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
+    def wrap(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
         def turned(offering: str, time_left: float, waited: float) -> float | None:
             come_back = decide(offering, time_left, waited)
             if come_back is not None:
@@ -79,8 +79,8 @@
 
         return Onlooker(taker, self), turned
 
-    def start(self, around: Surroundings) -> None:
-        self.name, self.settings = around.name, around.settings
+    def start(self, context: NodeContext) -> None:
+        self.name, self.settings = context.name, context.settings
         self._held = (None, "")
         self._follow()
 
@@ -91,7 +91,7 @@
             self._held = (settings, settings_digest(settings))
             self.targets = {line["Name"]: line["Aim"] / 1e6 for line in settings["Classes"]}
 
-    async def leave(self, succeeded: bool) -> None:
+    async def stop(self, has_successor: bool) -> None:
         """Nothing is kept: what one process counted is nobody else's."""
 
     def tenant(self, name: str) -> list[int]:
@@ -107,13 +107,13 @@
             times = self.times[offering] = HdrHistogram(1, LONGEST, DIGITS)
         times.record_value(min(max(int(seconds * 1e6), 1), LONGEST))
 
-    def snapshot(self, call: Call) -> Verdict:
+    def snapshot(self, call: AdminRequest) -> AdminResponse:
         self._follow()
         offerings = {
             name: {"counts": list(row), "times": _times(self.times.get(name))}
             for name, row in list(self.rows.items())[:200]
         }
-        return Verdict(200, {
+        return AdminResponse(200, {
             "name": self.name, "process": f"{os.getpid()}.{self.began:.3f}", "program": self.program,
             "settings": self._held[1], "speaks": SPEAKS, "kinds": KINDS, "offerings": offerings,
             "tenants": {name: list(row) for name, row in self.tenants.items()},
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -27,9 +27,9 @@
 from thornladder.children import ended_with_us
 from thornladder.fields import Malformed
 from thornladder.membership.wire import split_address
-from thornladder.node.admin.calls import Call, Name, Verdict, no
-from thornladder.node.admin.server import Admin
-from thornladder.node.companion import Further
+from thornladder.node.admin.calls import AdminRequest, AdminResponse, Endpoint, error_response
+from thornladder.node.admin.server import AdminServer
+from thornladder.node.companion import ExtensionEndpoint
 from thornladder.node.handover import Sheet
 from thornladder.node.tasks import Tasks
 from thornladder.rollout.core import Seen
@@ -150,38 +150,39 @@
 
     # Calls.
 
-    def __call__(self, call: Call) -> Verdict:
-        if call.name is Name.FURTHER:
-            return self.calls()[call.path].act(call)
-        return no(404, "no such call")
+    def __call__(self, call: AdminRequest) -> AdminResponse:
+        if call.endpoint is Endpoint.EXTENSION:
+            return self.admin_endpoints()[call.path].handler(call)
+        return error_response(404, "no such call")
 
-    def calls(self) -> dict[str, Further]:
-        return {"/state": Further(b"GET", self._state), "/claim": Further(b"POST", self._claim),
-                "/order": Further(b"POST", self._order)}  # fmt: skip
+    def admin_endpoints(self) -> dict[str, ExtensionEndpoint]:
+        return {"/state": ExtensionEndpoint(b"GET", self._state),
+                "/claim": ExtensionEndpoint(b"POST", self._claim),
+                "/order": ExtensionEndpoint(b"POST", self._order)}  # fmt: skip
 
-    def _state(self, call: Call) -> Verdict:
-        return Verdict(200, msgspec.to_builtins(self.seen()))
+    def _state(self, call: AdminRequest) -> AdminResponse:
+        return AdminResponse(200, msgspec.to_builtins(self.seen()))
 
-    def _claim(self, call: Call) -> Verdict:
+    def _claim(self, call: AdminRequest) -> AdminResponse:
         return self._taken(call.body, Claim, lambda claim: self.held.grant(claim))
 
-    def _order(self, call: Call) -> Verdict:
+    def _order(self, call: AdminRequest) -> AdminResponse:
         return self._taken(call.body, Document, lambda document: self.held.take(document))
 
-    def _taken(self, body: bytes, kind: type, take: Any) -> Verdict:
+    def _taken(self, body: bytes, kind: type, take: Any) -> AdminResponse:
         try:
             asked = msgspec.json.decode(body, type=kind)
         except (msgspec.MsgspecError, ValueError) as error:
-            return no(400, str(error))
+            return error_response(400, str(error))
         before = self.held.order, self.held.claim
         if why := take(asked):
-            return no(409, why)
+            return error_response(409, why)
         if (self.held.order, self.held.claim) != before:
             self._keep()
             if self.held.order != before[0]:
                 self.log.info("an order was taken", order=self.held.order, by="a driver")
             self.news.set()
-        return Verdict(200, {"order": self.held.order})
+        return AdminResponse(200, {"order": self.held.order})
 
     # Its tasks.
 
@@ -197,8 +198,8 @@
         try:
             async with anyio.create_task_group() as group:
                 tasks = Tasks(group, self.log)
-                further = {path: each.method for path, each in self.calls().items()}
-                tasks.keep("orders", Admin(self, tasks, self.log, further, MOST_DOCUMENT).run, door)
+                further = {path: each.method for path, each in self.admin_endpoints().items()}
+                tasks.keep("orders", AdminServer(self, tasks, self.log, further, MOST_DOCUMENT).run, door)
                 with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
                     tasks.start("keeping", self._keep_running, tasks)
                     async for _ in signals:
