--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -41,7 +41,7 @@
         (Pool, ("get", "sweep", "_close_left"), 5),
         (Pushes, ("on_list", "forget", "_ask"), 5),
         (Watch, ("_call", "_astray"), 2),
-        (NodeHost, ("came", "client_gone", "push_ended", "push", "nack", "list_told"), 5),
+        (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
         (Exchange, ("finish",), 5),
         (messages, ("decode_invocation", "encode_answer", "encode_push", "outcome_of", "completed"), 5),
         (messages, ("decode_list", "encode_watch"), 2),
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -137,13 +137,13 @@
 class Sink:
     """Takes an invocation and completes it at once."""
 
-    def whole(self, exchange: Exchange) -> None: ...
+    def body_received(self, exchange: Exchange) -> None: ...
 
-    def stuck(self, exchange: Exchange) -> None: ...
+    def body_stalled(self, exchange: Exchange) -> None: ...
 
-    def client_gone(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
-    def came(self, exchange: Exchange) -> bool:
+    def start_invocation(self, exchange: Exchange) -> bool:
         exchange.finish(Answer(Ending.COMPLETED))
         return True
 
@@ -157,11 +157,11 @@
     more = []
     for _ in range(rounds):
         took = []
-        for taker in (Sink(), watched):
+        for handler in (Sink(), watched):
             began = time.process_time()
             for number in range(many):
                 invocation = Invocation(str(number), "look", "", 0.2, None, False)
-                taker.came(Exchange(invocation, message, lambda answer: None))
+                handler.start_invocation(Exchange(invocation, message, lambda answer: None))
             took.append((time.process_time() - began) / many)
         more.append(1e6 * (took[1] - took[0]))
     return statistics.median(more)
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -28,7 +28,7 @@
 
     def probe_ended(self, backend: str, outcome: Outcome, report: Report) -> None: ...
 
-    def client_gone(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
     async def awake(self) -> None: ...
 
@@ -234,7 +234,7 @@
         its core; and where nothing may be cancelled, a first or further attempt still on its way out.
         """
         if not exchange.over and exchange.left:
-            self.told.client_gone(exchange)
+            self.told.client_disconnected(exchange)
         return exchange.over
 
     def _binds(self, backend: str) -> bool:
--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -19,16 +19,16 @@
 from thornladder.node.streams import BROKEN, Held, readable
 
 
-class Taker(Protocol):
+class InvocationHandler(Protocol):
     """Who takes what comes in."""
 
-    def came(self, exchange: Exchange) -> bool: ...
+    def start_invocation(self, exchange: Exchange) -> bool: ...
 
-    def whole(self, exchange: Exchange) -> None: ...
+    def body_received(self, exchange: Exchange) -> None: ...
 
-    def stuck(self, exchange: Exchange) -> None: ...
+    def body_stalled(self, exchange: Exchange) -> None: ...
 
-    def client_gone(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
 
 class Desk:
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        taker: Taker,
+        handler: InvocationHandler,
         offerings: Mapping[str, Offering],
         clock: Callable[[], float],
         held: Held,
@@ -44,7 +44,7 @@
         decide: Decide,
         log: Any,
     ) -> None:
-        self.taker, self.clock, self.held, self.log = taker, clock, held, log
+        self.handler, self.clock, self.held, self.log = handler, clock, held, log
         self.late = late  # whether this node reads what has come later than it should
         self.decide, self.longest = decide, 0.0  # the longest cut-off of anything that may be in hand
         self.retune(offerings)
@@ -134,7 +134,7 @@
         finally:
             self._end_upload(False)
             if self.exchange is not None:
-                self.desk.taker.client_gone(self.exchange)
+                self.desk.handler.client_disconnected(self.exchange)
             if self.download is not None:
                 self.download.drop()
             await streams.close(self.stream)
@@ -208,7 +208,7 @@
             if self.exchange is not None and self.upload is None:
                 # Clients send one invocation at a time: more than its length said makes all of it doubtful.
                 exchange, self.exchange = self.exchange, None
-                self.desk.taker.client_gone(exchange)
+                self.desk.handler.client_disconnected(exchange)
                 self._turn_down(400, "more came than one invocation")
                 continue
             if self.waited and not asked and self.idle:
@@ -240,11 +240,11 @@
                     await self.upload.give(part)
                 if waiting.cancelled_caught and self.exchange is not None:
                     # Guards against a client that waits for ever on a backend that takes nothing.
-                    self.desk.taker.stuck(self.exchange)
+                    self.desk.handler.body_stalled(self.exchange)
             if self.upload is not None and self.upload_over:
                 self._end_upload(True)
                 if self.exchange is not None:
-                    self.desk.taker.whole(self.exchange)
+                    self.desk.handler.body_received(self.exchange)
 
     def _end_upload(self, whole: bool) -> None:
         if self.upload is not None:
@@ -263,7 +263,7 @@
         exchange, self.exchange = self.exchange, None
         self._end_upload(False)
         if exchange is not None:
-            self.desk.taker.client_gone(exchange)
+            self.desk.handler.client_disconnected(exchange)
         self._turn_down(status, words)
 
     async def _write(self) -> None:
@@ -382,7 +382,7 @@
         self.body.clear()
         self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
         self.waited = 0.0
-        if not self.desk.taker.came(self.exchange):
+        if not self.desk.handler.start_invocation(self.exchange):
             self.exchange = None
             self._give_up_upload(400, "this X-Call-Id is in hand")
 
@@ -406,7 +406,7 @@
             return
         self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
         self.waited = 0.0
-        if not self.desk.taker.came(self.exchange):
+        if not self.desk.handler.start_invocation(self.exchange):
             self.exchange = None
             self._answer(*messages.encode_plain(400, "this X-Call-Id is in hand", self.desk.closing))
 
--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple, Protocol
 
 from thornladder.node.admin.calls import Call, Verdict
-from thornladder.node.clients.connection import Taker
+from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import Decide
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
@@ -43,7 +43,7 @@
     def calls(self) -> Mapping[str, Further]:
         """By path."""
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
+    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
         """Who takes invocations and who turns them away unread: the same two, or such that look on."""
 
     def start(self, around: Surroundings) -> None:
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -127,7 +127,7 @@
 
     # What happens.
 
-    def came(self, exchange: Exchange) -> bool:
+    def start_invocation(self, exchange: Exchange) -> bool:
         """Takes an invocation; not one whose id is in hand, since ids tell invocations apart."""
         if exchange.invocation.id in self.exchanges:
             return False
@@ -152,7 +152,7 @@
         """
         return max(given - self.WAY_BACK - waited - min(self.lag.worst, self.MOST_LAG * given), 0.0)
 
-    def whole(self, exchange: Exchange) -> None:
+    def body_received(self, exchange: Exchange) -> None:
         """The last byte of a large invocation has come; from here on its client's time counts."""
         if exchange.over:
             return
@@ -162,11 +162,11 @@
             scope.deadline = anyio.current_time() + left
         self._tell_of(exchange, self.node.on_whole, exchange.invocation.id, left)
 
-    def stuck(self, exchange: Exchange) -> None:
+    def body_stalled(self, exchange: Exchange) -> None:
         """What comes is not taken: its push ends, as one that never ran."""
         exchange.cancel_pushes()
 
-    def client_gone(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         if exchange.over:
             return
         exchange.gone = True
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -67,10 +67,10 @@
         host.start(
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
-        taker, decide = host, host.turns_away
+        handler, decide = host, host.turns_away
         for each in companions:
-            taker, decide = each.between(taker, decide)
-        desk = Desk(taker, host.node.offerings, clock, held, lambda: host.lag.late, decide, log)
+            handler, decide = each.between(handler, decide)
+        desk = Desk(handler, host.node.offerings, clock, held, lambda: host.lag.late, decide, log)
         asking = max(round(ASKING * config.sockets), 4)
         front = Front(desk, clients, tasks, config.inherited is not None, asking)
         further = {path: call for each in companions for path, call in each.calls().items()}
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from thornladder.node.clients.connection import Taker
+from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import Decide
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
@@ -34,9 +34,13 @@
     def calls(self) -> Mapping[str, Further]:
         return {}
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
-        self.taker = taker
-        self.whole, self.stuck, self.client_gone = taker.whole, taker.stuck, taker.client_gone
+    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+        self.handler = handler
+        self.body_received, self.body_stalled, self.client_disconnected = (
+            handler.body_received,
+            handler.body_stalled,
+            handler.client_disconnected,
+        )
         return self, decide
 
     def start(self, around: Surroundings) -> None:
@@ -53,7 +57,7 @@
             self.held.append(bytearray(os.urandom(int(float(self.rest[0]) / 10))))
             await anyio.sleep(0.1)
 
-    def came(self, exchange: Exchange) -> bool:
+    def start_invocation(self, exchange: Exchange) -> bool:
         self.count += 1
         if self.kind == "tenth" and self.count >= 10:
             os._exit(3)
@@ -62,7 +66,7 @@
         if self.kind == "nack" and self.count % round(1.0 / float(self.rest[0])) == 0:
             exchange.finish(Answer(Ending.NACKED))
             return True
-        return self.taker.came(exchange)
+        return self.handler.start_invocation(exchange)
 
 
 def main() -> int:
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -402,7 +402,7 @@
             number += 1
             invocation = api.Invocation(f"i{number}", "look", "t", LOOK.cut_off, None, False)
             message = Message(b"GET", b"/look", [(b"x-call-id", invocation.id.encode())], b"")
-            host.came(Exchange(invocation, message, self._answered))
+            host.start_invocation(Exchange(invocation, message, self._answered))
 
     def _answered(self, answer: Answer) -> None:
         self.answers[answer.ending] += 1
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -20,7 +20,7 @@
 
 from thornladder.membership.wire import VERSION
 from thornladder.node.admin.calls import Call, Verdict
-from thornladder.node.clients.connection import Taker
+from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import Decide
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
@@ -67,7 +67,7 @@
     def calls(self) -> Mapping[str, Further]:
         return {"/counters": Further(b"GET", self.snapshot)}
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
+    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
         def turned(offering: str, time_left: float, waited: float) -> float | None:
             come_back = decide(offering, time_left, waited)
             if come_back is not None:
@@ -77,7 +77,7 @@
                 row[NACKED] += 1
             return come_back
 
-        return Onlooker(taker, self), turned
+        return Onlooker(handler, self), turned
 
     def start(self, around: Surroundings) -> None:
         self.name, self.settings = around.name, around.settings
@@ -148,11 +148,11 @@
 class Onlooker:
     """Passes everything on, and counts what is final."""
 
-    def __init__(self, taker: Taker, counters: Counters) -> None:
-        self.taker, self.counters = taker, counters
-        self.whole, self.stuck = taker.whole, taker.stuck
+    def __init__(self, handler: InvocationHandler, counters: Counters) -> None:
+        self.handler, self.counters = handler, counters
+        self.body_received, self.body_stalled = handler.body_received, handler.body_stalled
 
-    def came(self, exchange: Exchange) -> bool:
+    def start_invocation(self, exchange: Exchange) -> bool:
         counters, clock = self.counters, self.counters.clock
         offering, tenant = exchange.invocation.offering, exchange.invocation.tenant
         began = clock() - exchange.waited
@@ -170,9 +170,9 @@
                 counters.took(offering, took)
 
         exchange.also(look)
-        return self.taker.came(exchange)
+        return self.handler.start_invocation(exchange)
 
-    def client_gone(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         if not exchange.over:
             self.counters.rows[exchange.invocation.offering][GONE] += 1
-        self.taker.client_gone(exchange)
+        self.handler.client_disconnected(exchange)
