--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -18,7 +18,7 @@
 from thornladder.membership.transport import Transport
 from thornladder.membership.wire import State, split_address
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, error_response
-from thornladder.node.clients.connection import Taker
+from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import Decide
 from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.handover import Sheet
@@ -58,8 +58,8 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {"/members": ExtensionEndpoint(b"GET", self.members)}
 
-    def wrap(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
-        return taker, decide
+    def wrap(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+        return handler, decide
 
     def start(self, context: NodeContext) -> None:
         self.context, self.log = context, context.log
