--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -13,7 +13,7 @@
 from thornladder.decide import Core
 from thornladder.interface import Kind, Offering
 from thornladder.node.clients.connection import ClientConnection
-from thornladder.node.clients.early import Early
+from thornladder.node.clients.early import EarlyShedder
 from thornladder.node.clients.front import Front
 from thornladder.node.host import Lag, NodeHost
 from thornladder.node.streams import unread_for
@@ -81,7 +81,7 @@
         asked.append((offering, round(left, 3), waited))
         return 0.25
 
-    early = Early({"look": LOOK, "pay": PAY}, decide)
+    early = EarlyShedder({"look": LOOK, "pay": PAY}, decide)
     nack = early.nack(WHOLE, 0.1, False)
     assert nack.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 0.250" in nack and b"close" not in nack
     assert b"Connection: close" in early.nack(POST, 0.1, True)
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -19,7 +19,7 @@
 from thornladder.membership.wire import State, split_address
 from thornladder.node.admin.calls import Call, Verdict, no
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
+from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.handover import Sheet
 
@@ -58,8 +58,10 @@
     def calls(self) -> Mapping[str, Further]:
         return {"/members": Further(b"GET", self.members)}
 
-    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
-        return handler, decide
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
+        return handler, shed_policy
 
     def start(self, around: Surroundings) -> None:
         self.around, self.log = around, around.log
--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -12,7 +12,7 @@
 
 from thornladder.interface import Offering
 from thornladder.node import messages, streams
-from thornladder.node.clients.early import Decide, Early
+from thornladder.node.clients.early import EarlyShedder, ShedPolicy
 from thornladder.node.exchange import Exchange
 from thornladder.node.flow import COST, Flow, narrow
 from thornladder.node.messages import MOST_BODY, MOST_WHOLE, Answer, BadInput
@@ -31,7 +31,7 @@
     def client_disconnected(self, exchange: Exchange) -> None: ...
 
 
-class Desk:
+class ServerState:
     """What all connections share: who takes invocations, and whether the node is ready or sends them away."""
 
     def __init__(
@@ -41,15 +41,18 @@
         clock: Callable[[], float],
         held: Held,
         late: Callable[[], bool],
-        decide: Decide,
+        shed_policy: ShedPolicy,
         log: Any,
     ) -> None:
         self.handler, self.clock, self.held, self.log = handler, clock, held, log
         self.late = late  # whether this node reads what has come later than it should
-        self.decide, self.longest = decide, 0.0  # the longest cut-off of anything that may be in hand
-        self.retune(offerings)
-        self.leaving = self.standby = False
-        self.succeeded = False  # another process of this node serves at the same door
+        self.shed_policy, self.longest = (
+            shed_policy,
+            0.0,
+        )  # the longest cut-off of anything that may be in hand
+        self.set_offerings(offerings)
+        self.draining = self.standby = False
+        self.has_successor = False  # another process of this node serves at the same door
 
     @property
     def ready(self) -> bool:
@@ -57,17 +60,17 @@
 
         Guards against a front that turns from a node because the one that leaves says so.
         """
-        return not self.closing or (self.leaving and self.succeeded and not self.standby)
+        return not self.closing or (self.draining and self.has_successor and not self.standby)
 
-    def retune(self, offerings: Mapping[str, Offering]) -> None:
+    def set_offerings(self, offerings: Mapping[str, Offering]) -> None:
         """What comes from now on is of one of these; what is in hand is not touched."""
-        self.offerings, self.early = offerings, Early(offerings, self.decide)
+        self.offerings, self.early_shedder = offerings, EarlyShedder(offerings, self.shed_policy)
         self.longest = max(self.longest, *(offering.cut_off for offering in offerings.values()))
 
     @property
     def closing(self) -> bool:
         """Whether clients are sent away: each answer is the last on its connection."""
-        return self.leaving or self.standby
+        return self.draining or self.standby
 
 
 class ClientConnection:
@@ -79,9 +82,11 @@
     UNTAKEN = 5.0  # seconds for a part of a body to be taken by its backend; slow ones take one a second
     UNREAD = 10.0  # seconds for a part of an answer to be taken; past the longest cut-off
 
-    def __init__(self, stream: SocketStream, desk: Desk, first: bytes = b"", waited: float = 0.0) -> None:
+    def __init__(
+        self, stream: SocketStream, server_state: ServerState, first: bytes = b"", waited: float = 0.0
+    ) -> None:
         """`first`: what had come when it was accepted, and for how many seconds it had waited."""
-        self.stream, self.desk = stream, desk
+        self.stream, self.server_state = stream, server_state
         self.first, self.waited = first, waited
         self.http = h11.Connection(h11.SERVER)
         self.request: h11.Request | None = None
@@ -101,7 +106,7 @@
         self.wake = anyio.Event()
         self.ending = False  # asked to end if it is idle
         self.closing = False  # nothing more is read; what is in the outbox is the last
-        self.since = desk.clock()  # when bytes last came or went
+        self.since = server_state.clock()  # when bytes last came or went
         self.began = self.since  # when it came, or the first byte of the message that is being read
         self.spoken = False  # a whole message came on it
         self.scope = anyio.CancelScope()
@@ -130,11 +135,11 @@
                 await self._read()
                 tasks.cancel_scope.cancel()
         except Exception:
-            self.desk.log.exception("a client's connection failed")
+            self.server_state.log.exception("a client's connection failed")
         finally:
             self._end_upload(False)
             if self.exchange is not None:
-                self.desk.handler.client_disconnected(self.exchange)
+                self.server_state.handler.client_disconnected(self.exchange)
             if self.download is not None:
                 self.download.drop()
             await streams.close(self.stream)
@@ -155,7 +160,7 @@
         if not self.idle or self.closing or readable(self.stream):
             return
         self.closing = True
-        if not (self.spoken and self.desk.clock() - self.since < self.LINGER):
+        if not (self.spoken and self.server_state.clock() - self.since < self.LINGER):
             self.scope.cancel()  # no answer is on its way that a reset could overtake
 
     def look(self, now: float, keep: float) -> None:
@@ -188,33 +193,33 @@
         discarded = 0
         while True:
             try:
-                self.asked_at = self.desk.clock()
+                self.asked_at = self.server_state.clock()
                 data = self.first or await self.stream.receive()
             except BROKEN:
                 return
             finally:
-                self.waits, self.asked_at = self.waits + self.desk.clock() - self.asked_at, 0.0
+                self.waits, self.asked_at = self.waits + self.server_state.clock() - self.asked_at, 0.0
             asked, self.first = bool(self.first), b""  # the first was asked about when accepted
-            if not asked and self.desk.late():
+            if not asked and self.server_state.late():
                 self.waited = streams.unread_for(streams.raw(self.stream))
             if self.closing:
                 discarded += len(data)
                 if discarded > self.DISCARDED:
                     await anyio.sleep_forever()  # the writing task ends this
                 continue
-            self.since = self.desk.clock()
+            self.since = self.server_state.clock()
             if self.spoken and self.idle:
                 self.began, self.waits = self.since, 0.0
             if self.exchange is not None and self.upload is None:
                 # Clients send one invocation at a time: more than its length said makes all of it doubtful.
                 exchange, self.exchange = self.exchange, None
-                self.desk.handler.client_disconnected(exchange)
+                self.server_state.handler.client_disconnected(exchange)
                 self._turn_down(400, "more came than one invocation")
                 continue
             if self.waited and not asked and self.idle:
-                nack = self.desk.early.nack(data, self.waited, self.desk.closing)
+                nack = self.server_state.early_shedder.nack(data, self.waited, self.server_state.closing)
                 if nack is not None:
-                    self.spoken, self.waited, self.closing = True, 0.0, self.desk.closing
+                    self.spoken, self.waited, self.closing = True, 0.0, self.server_state.closing
                     self._put(nack)
                     continue
             self.http.receive_data(data)
@@ -228,7 +233,7 @@
         async with self.passing:
             if self.upload is not None and self.counted is None:
                 flow = self.upload
-                await self.desk.held.take(COST, flow)
+                await self.server_state.held.take(COST, flow)
                 self.counted = flow
                 if self.upload is not flow:
                     self._give_back()
@@ -240,11 +245,11 @@
                     await self.upload.give(part)
                 if waiting.cancelled_caught and self.exchange is not None:
                     # Guards against a client that waits for ever on a backend that takes nothing.
-                    self.desk.handler.body_stalled(self.exchange)
+                    self.server_state.handler.body_stalled(self.exchange)
             if self.upload is not None and self.upload_over:
                 self._end_upload(True)
                 if self.exchange is not None:
-                    self.desk.handler.body_received(self.exchange)
+                    self.server_state.handler.body_received(self.exchange)
 
     def _end_upload(self, whole: bool) -> None:
         if self.upload is not None:
@@ -255,7 +260,7 @@
 
     def _give_back(self) -> None:
         if self.counted is not None:
-            self.desk.held.give_back(COST, self.counted)
+            self.server_state.held.give_back(COST, self.counted)
             self.counted = None
 
     def _give_up_upload(self, status: int, words: str) -> None:
@@ -263,7 +268,7 @@
         exchange, self.exchange = self.exchange, None
         self._end_upload(False)
         if exchange is not None:
-            self.desk.handler.client_disconnected(exchange)
+            self.server_state.handler.client_disconnected(exchange)
         self._turn_down(status, words)
 
     async def _write(self) -> None:
@@ -274,7 +279,7 @@
                 while self.outbox:
                     await self.stream.send(self.outbox[0])
                     self.outbox.popleft()
-                    self.since = self.desk.clock()
+                    self.since = self.server_state.clock()
                 if self.download is not None:
                     await self._pass_out(self.download)
                 if self.ending:
@@ -295,9 +300,9 @@
         """Passes a large answer on as it comes; one that breaks off ends the connection: its client sees."""
         async for part in flow.parts():
             data = self.http.send(h11.Data(data=part)) or b""
-            self.since, self.taking = self.desk.clock(), True
+            self.since, self.taking = self.server_state.clock(), True
             await self.stream.send(data)
-            self.since, self.taking = self.desk.clock(), False
+            self.since, self.taking = self.server_state.clock(), False
         if not flow.whole:
             self.scope.cancel()
             return
@@ -373,7 +378,7 @@
         request, self.spoken = self.request, True
         assert request is not None
         flow = Flow()
-        decoded = messages.decode_invocation(request, bytes(self.body), self.desk.offerings, flow)
+        decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings, flow)
         if isinstance(decoded, BadInput):
             self._turn_down(decoded.status, decoded.words)
             return
@@ -382,7 +387,7 @@
         self.body.clear()
         self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
         self.waited = 0.0
-        if not self.desk.handler.start_invocation(self.exchange):
+        if not self.server_state.handler.start_invocation(self.exchange):
             self.exchange = None
             self._give_up_upload(400, "this X-Call-Id is in hand")
 
@@ -396,19 +401,19 @@
             return
         path = request.target.partition(b"?")[0]
         if path in (messages.READY_PATH, messages.LIVE_PATH):
-            away = not self.desk.ready and path == messages.READY_PATH
-            words = "ready" if not away else "leaving" if self.desk.leaving else "standby"
-            self._answer(*messages.encode_plain(503 if away else 200, words, self.desk.closing))
+            away = not self.server_state.ready and path == messages.READY_PATH
+            words = "ready" if not away else "leaving" if self.server_state.draining else "standby"
+            self._answer(*messages.encode_plain(503 if away else 200, words, self.server_state.closing))
             return
-        decoded = messages.decode_invocation(request, bytes(self.body), self.desk.offerings)
+        decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings)
         if isinstance(decoded, BadInput):
-            self._answer(*messages.encode_plain(decoded.status, decoded.words, self.desk.closing))
+            self._answer(*messages.encode_plain(decoded.status, decoded.words, self.server_state.closing))
             return
         self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
         self.waited = 0.0
-        if not self.desk.handler.start_invocation(self.exchange):
+        if not self.server_state.handler.start_invocation(self.exchange):
             self.exchange = None
-            self._answer(*messages.encode_plain(400, "this X-Call-Id is in hand", self.desk.closing))
+            self._answer(*messages.encode_plain(400, "this X-Call-Id is in hand", self.server_state.closing))
 
     def _turn_down(self, status: int, words: str) -> None:
         """Ends the connection with an answer, since where the next message begins is not known."""
@@ -422,10 +427,10 @@
     def _deliver(self, answer: Answer) -> None:
         self.exchange = None
         try:
-            self._answer(*messages.encode_answer(answer, self.desk.closing), answer.flow)
+            self._answer(*messages.encode_answer(answer, self.server_state.closing), answer.flow)
         except Exception:
             # Guards against an answer that cannot be put into words: it still has to be one, and the last.
-            self.desk.log.exception("an answer could not be put into words")
+            self.server_state.log.exception("an answer could not be put into words")
             self.request, self.closing, self.discarding = None, True, False
             try:
                 self._put(messages.LAST_RESORT)
@@ -460,7 +465,7 @@
     def _put(self, data: bytes) -> None:
         """Sends it: small ones at once, others and those behind them by the writing task."""
         if not self.outbox and len(data) <= MOST_WHOLE and streams.write_now(self.stream, data):
-            self.since = self.desk.clock()
+            self.since = self.server_state.clock()
         elif data:
             self.outbox.append(data)
         if self.outbox or self.closing or self.http.trailing_data[0]:
--- a/thornladder/node/clients/early.py
+++ b/thornladder/node/clients/early.py
@@ -14,13 +14,13 @@
 _ODD = re.compile(rb"\r\n(?:Transfer-Encoding|Expect)[ \t]*:", re.IGNORECASE)
 
 # Offering, seconds left to the client, seconds that it lay unread; the time to come back, or None: take it.
-Decide = Callable[[str, float, float], float | None]
+ShedPolicy = Callable[[str, float, float], float | None]
 
 
-class Early:
-    def __init__(self, offerings: Mapping[str, Offering], decide: Decide) -> None:
+class EarlyShedder:
+    def __init__(self, offerings: Mapping[str, Offering], shed_policy: ShedPolicy) -> None:
         self.offerings = {name.encode(): offering for name, offering in offerings.items()}
-        self.decide = decide
+        self.shed_policy = shed_policy
 
     def nack(self, data: bytes, waited: float, closing: bool) -> bytes | None:
         """The nack to one whole plain invocation that the module turns away; None: it is to be read.
@@ -32,7 +32,7 @@
             return None
         budget = _BUDGET.search(data)
         given = messages.time_left(budget[1] if budget else None, offering)
-        come_back = self.decide(offering.name, given - waited, waited)
+        come_back = self.shed_policy(offering.name, given - waited, waited)
         return None if come_back is None else messages.early_nack(come_back, closing)
 
     def _plain(self, data: bytes) -> Offering | None:
--- a/thornladder/node/clients/front.py
+++ b/thornladder/node/clients/front.py
@@ -11,7 +11,7 @@
 from anyio.abc import SocketStream
 
 from thornladder.node import streams
-from thornladder.node.clients.connection import ClientConnection, Desk
+from thornladder.node.clients.connection import ClientConnection, ServerState
 from thornladder.node.tasks import Tasks
 
 
@@ -32,18 +32,28 @@
     UNUSED = 0.2  # … once they were idle for these seconds; clients that go on asking use theirs sooner
 
     def __init__(
-        self, desk: Desk, most: int, tasks: Tasks, shared: bool = False, asking: int | None = None
+        self,
+        server_state: ServerState,
+        max_connections: int,
+        tasks: Tasks,
+        listener_is_shared: bool = False,
+        client_pool_limit: int | None = None,
     ) -> None:
         """`shared`: the listening socket is others' too, so that nothing is done to it but accepting.
 
         `asking`: how many connections clients have at most to ask on.
         """
-        self.asking = most if asking is None else asking
-        self.desk, self.most, self.tasks, self.shared = desk, most, tasks, shared
+        self.client_pool_limit = max_connections if client_pool_limit is None else client_pool_limit
+        self.server_state, self.max_connections, self.tasks, self.listener_is_shared = (
+            server_state,
+            max_connections,
+            tasks,
+            listener_is_shared,
+        )
         self.connections: set[ClientConnection] = set()
-        self.held = 0  # those, and the accepted ones that are not among them yet
+        self.connection_count = 0  # those, and the accepted ones that are not among them yet
         self.nearly = False  # out of connections to give
-        self.open = False  # whether connections are accepted
+        self.is_open = False  # whether connections are accepted
         self.accepting: anyio.CancelScope | None = None  # before it is
         self.away_since = 0.0  # when standby began
 
@@ -52,11 +62,11 @@
 
         What waits at a shared one is for the process that stays.
         """
-        self.open = True
+        self.is_open = True
         with anyio.CancelScope() as self.accepting:
             while True:
                 await self._accept(listener)
-        quiet = self.shared
+        quiet = self.listener_is_shared
         while not quiet:
             with anyio.move_on_after(self.QUIET) as waiting:
                 await self._accept(listener)
@@ -65,38 +75,38 @@
 
     async def _accept(self, listener: socket.socket) -> None:
         """Waits for connections and takes all there are; a cancel comes only while there are none."""
-        while self.held > self.NEARLY * self.most and self._make_room():
+        while self.connection_count > self.NEARLY * self.max_connections and self._make_room():
             await anyio.sleep(0.002)
-        while self.held >= self.most:
+        while self.connection_count >= self.max_connections:
             await anyio.sleep(0.02)
             self._make_room()
-        nearly = self.held > self.NEARLY * self.most
-        if nearly != self.nearly and not self.shared:
+        nearly = self.connection_count > self.NEARLY * self.max_connections
+        if nearly != self.nearly and not self.listener_is_shared:
             # What the kernel has accepted counts as taken: none may wait there that there is no room for.
             self.nearly = nearly
             listener.listen(1 if nearly else self.BACKLOG)
         await anyio.wait_readable(listener)
-        while self.held < self.most:
+        while self.connection_count < self.max_connections:
             try:
                 raw, _ = listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                self.desk.log.warning("a connection could not be accepted", error=repr(error))
+                self.server_state.log.warning("a connection could not be accepted", error=repr(error))
                 await anyio.sleep(0.05)
                 return
             first = self._first(raw)
             if first is None:
                 raw.close()
                 continue
-            late = bool(first) and self.desk.late()
+            late = bool(first) and self.server_state.late()
             waited = streams.unread_for(raw) if late else 0.0
-            if late and (nack := self.desk.early.nack(first, waited, True)):
+            if late and (nack := self.server_state.early_shedder.nack(first, waited, True)):
                 with suppress(OSError):
                     raw.send(nack)  # a kernel takes it whole on a connection with nothing under way
                 raw.close()
                 continue
-            self.held += 1
+            self.connection_count += 1
             self.tasks.start("a client's connection", self._serve, raw, first, waited)
 
     def _first(self, raw: socket.socket) -> bytes | None:
@@ -118,7 +128,7 @@
     async def _serve(self, raw: socket.socket, first: bytes, waited: float) -> None:
         try:
             stream = streams.one_by_one(await SocketStream.from_socket(raw))
-            connection = ClientConnection(stream, self.desk, first, waited)
+            connection = ClientConnection(stream, self.server_state, first, waited)
             self.connections.add(connection)
             try:
                 await connection.serve()
@@ -130,20 +140,20 @@
             raw.close()
             raise
         finally:
-            self.held -= 1
+            self.connection_count -= 1
 
-    async def leave(self) -> None:
+    async def drain(self) -> None:
         """Sees everybody out: takes what still comes, answers what is at hand, closes the rest.
 
         What is at hand is answered by the longest cut-off; what has not come whole by then never was taken.
         """
-        self.desk.leaving, self.open = True, False
-        with anyio.move_on_after(self.ACCEPT_FOR + self.desk.longest):
-            if not self.shared:
+        self.server_state.draining, self.is_open = True, False
+        with anyio.move_on_after(self.ACCEPT_FOR + self.server_state.longest):
+            if not self.listener_is_shared:
                 await anyio.sleep(self.ACCEPT_FOR)
             if self.accepting is not None:
                 self.accepting.cancel()
-            if self.shared:
+            if self.listener_is_shared:
                 # Guards against closing on what is under way on kept connections: first they are seen out.
                 await anyio.sleep(self.ACCEPT_FOR)
             await anyio.sleep(self.QUIET + self.SETTLE)
@@ -152,9 +162,9 @@
                 await anyio.sleep(0.02)
         await anyio.sleep(self.SETTLE)
 
-    def stand_by(self, standby: bool) -> None:
+    def set_standby(self, standby: bool) -> None:
         """Sends clients away, or takes them back. The door stays open: readiness tells the front."""
-        self.desk.standby, self.away_since = standby, self.desk.clock()
+        self.server_state.standby, self.away_since = standby, self.server_state.clock()
 
     def _send_away(self, now: float) -> None:
         """Closes what nobody is using. What is used ends with its next answer, which says so.
@@ -168,14 +178,14 @@
 
     def sweep(self) -> None:
         """Closes what has long been silent; sooner when many connections are held."""
-        now = self.desk.clock()
-        if self.desk.standby:
+        now = self.server_state.clock()
+        if self.server_state.standby:
             self._send_away(now)
         self._free(now)
-        keep = self.LEAST_KEEP if self.held > 0.5 * self.most else self.KEEP
+        keep = self.LEAST_KEEP if self.connection_count > 0.5 * self.max_connections else self.KEEP
         for connection in list(self.connections):
             self._alone(connection, connection.look, now, keep)
-        if self.held > self.NEARLY * self.most:
+        if self.connection_count > self.NEARLY * self.max_connections:
             self._make_room()
 
     def _free(self, now: float) -> None:
@@ -185,7 +195,7 @@
         may have, and a node with nothing to do was not asked (incident r936087).
         """
         spoken = [each for each in self.connections if each.spoken and not each.closing]
-        count = len(spoken) - round(self.FREE * self.asking)
+        count = len(spoken) - round(self.FREE * self.client_pool_limit)
         if count > 0:
             unused = [each for each in spoken if each.idle and now - each.since > self.UNUSED]
             for connection in sorted(unused, key=lambda each: each.since)[:count]:
@@ -196,7 +206,7 @@
 
         Guards against a crowd that connects and says nothing: it must not shut the door on usual clients.
         """
-        now, count = self.desk.clock(), self.most // 10 + 1
+        now, count = self.server_state.clock(), self.max_connections // 10 + 1
         silent = [each for each in self.connections if each.silent and now - each.began > self.GREETED]
         for connection in sorted(silent, key=lambda each: each.began)[:count]:
             self._alone(connection, connection.close_idle)
@@ -213,5 +223,5 @@
         try:
             act(*given)
         except Exception:
-            self.desk.log.exception("a look at a client's connection failed")
+            self.server_state.log.exception("a look at a client's connection failed")
             connection.scope.cancel()
--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -11,7 +11,7 @@
 
 from thornladder.node.admin.calls import Call, Verdict
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
+from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
 
@@ -43,7 +43,9 @@
     def calls(self) -> Mapping[str, Further]:
         """By path."""
 
-    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
         """Who takes invocations and who turns them away unread: the same two, or such that look on."""
 
     def start(self, around: Surroundings) -> None:
--- a/thornladder/node/operations.py
+++ b/thornladder/node/operations.py
@@ -42,20 +42,20 @@
         return self.mark(call.backend, call.name is Name.ENTER)
 
     def status(self) -> Verdict:
-        ready = self.host.list_known and self.front.open
+        ready = self.host.list_known and self.front.is_open
         facts = {
-            "ready": ready, "standby": self.front.desk.standby, "leaving": self.front.desk.leaving,
-            "list_known": self.host.list_known, "backends": len(self.host.maintenance.entries),
+            "ready": ready, "standby": self.front.server_state.standby,
+            "leaving": self.front.server_state.draining, "list_known": self.host.list_known, "backends": len(self.host.maintenance.entries),
             "maintenance": self.host.maintenance.out, "connections": len(self.front.connections),
             "in_hand": len(self.host.exchanges), "blind_since": self.host.blind_since,
         }  # fmt: skip
         return Verdict(200 if ready else 503, facts)
 
     def stand_by(self, standby: bool) -> Verdict:
-        if self.front.desk.leaving:
+        if self.front.server_state.draining:
             return no(503, "this process is leaving")
-        if standby != self.front.desk.standby:
-            self.front.stand_by(standby)
+        if standby != self.front.server_state.standby:
+            self.front.set_standby(standby)
             self.log.info("standby" if standby else "active")
         return Verdict(200, {"standby": standby})
 
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -17,7 +17,7 @@
 from thornladder.node.admin.server import Admin
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import Pushes
-from thornladder.node.clients.connection import Desk
+from thornladder.node.clients.connection import ServerState
 from thornladder.node.clients.front import Front
 from thornladder.node.companion import Companion, Surroundings
 from thornladder.node.discovery.watch import Watch
@@ -67,12 +67,14 @@
         host.start(
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
-        handler, decide = host, host.turns_away
+        handler, shed_policy = host, host.turns_away
         for each in companions:
-            handler, decide = each.between(handler, decide)
-        desk = Desk(handler, host.node.offerings, clock, held, lambda: host.lag.late, decide, log)
+            handler, shed_policy = each.between(handler, shed_policy)
+        server_state = ServerState(
+            handler, host.node.offerings, clock, held, lambda: host.lag.late, shed_policy, log
+        )
         asking = max(round(ASKING * config.sockets), 4)
-        front = Front(desk, clients, tasks, config.inherited is not None, asking)
+        front = Front(server_state, clients, tasks, config.inherited is not None, asking)
         further = {path: call for each in companions for path, call in each.calls().items()}
         operations = Operations(host, front, handover.marks.add, log, further)
         tasks.keep("a look at idle connections", _sweep, front, pushes)
@@ -81,7 +83,7 @@
             config.name, config.seed, config.folder, config.decisions["nodes"], config.admin, tasks, log,
             partial(handover.count, host), lambda: reload.config.raw["settings"],
         )  # fmt: skip
-        reload = Reload(path, config, Parts(host, desk, pushes, watch, handover), log)
+        reload = Reload(path, config, Parts(host, server_state, pushes, watch, handover), log)
         for each in companions:
             each.start(around)
         await group.start(_heed_signals, front, reload, handover, tasks, log, companions)
@@ -107,7 +109,7 @@
     """Beside a process that serves, clients are taken only once this one knows what that one does."""
     while handover.beside and not host.list_known:
         await anyio.sleep(0.02)
-    if front.desk.leaving:
+    if front.server_state.draining:
         return
     handover.phase = Phase.SERVING
     handover.look(host)
@@ -145,17 +147,17 @@
 
     async def run(self, host: NodeHost, front: Front, pool: Pool, held: Held) -> None:
         # As it was at the start: after an error this begins anew.
-        self.whole = self.whole or (front.most, pool.most, held.most)
+        self.whole = self.whole or (front.max_connections, pool.most, held.most)
         clients, backends, memory = self.whole
         while True:
-            self.used = front.held + pool.held
+            self.used = front.connection_count + pool.held
             self.look(host)
             # Descriptors and memory are one node's, whoever serves. Guards against connections closed, and
             # others left unread, when one that serves is cut to a half and the other holds next to nothing.
             parts = 1 + len(self.beside)
             others = sum(seen.used + SPARE for seen in self.beside)
             spare = max(clients + backends - self.used - others, 0) // parts
-            front.most = min(clients, max(front.held + round(CLIENTS * spare), 4))
+            front.max_connections = min(clients, max(front.connection_count + round(CLIENTS * spare), 4))
             pool.most = min(backends, max(pool.held + round((1.0 - CLIENTS) * spare), 4))
             held.most = memory // parts
             await anyio.sleep(self.LOOK)
@@ -163,7 +165,7 @@
     def leave(self, front: Front) -> None:
         """Who else serves as this one leaves decides whether the node is still ready."""
         self.phase = Phase.LEAVING
-        front.desk.succeeded = front.shared and any(
+        front.server_state.has_successor = front.listener_is_shared and any(
             seen.phase is Phase.SERVING for seen in self.places.others()
         )
 
@@ -217,7 +219,7 @@
     """What a new configuration concerns."""
 
     host: NodeHost
-    desk: Desk
+    server_state: ServerState
     pushes: Pushes
     watch: Watch
     handover: Handover
@@ -249,9 +251,9 @@
         self.config = replace(self.config, raw=config.raw)
 
     def _retune(self, config: Config) -> None:
-        host, desk, pushes, _, handover = self.parts
+        host, server_state, pushes, _, handover = self.parts
         handover.retune(config.decisions, host)
-        desk.retune(host.node.offerings)
+        server_state.set_offerings(host.node.offerings)
         pushes.grace, pushes.soft = config.transport.drain_grace, config.transport.soft_removal
         pushes.pool.retune(config.transport.idle_close, config.transport.connect_time_out)
         self.log.info("settings taken", offerings=sorted(host.node.offerings))
@@ -286,10 +288,10 @@
 
 async def _leave(front: Front, tasks: Tasks, log: Any, companions: Sequence[Companion]) -> None:
     try:
-        await front.leave()
+        await front.drain()
         for each in companions:
             with anyio.move_on_after(LAST_WORD):
-                await each.leave(front.desk.succeeded)
+                await each.leave(front.server_state.has_successor)
         log.info("left")
     finally:
         tasks.end()
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -14,7 +14,7 @@
 import anyio
 
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
+from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import Answer, Ending
@@ -34,14 +34,16 @@
     def calls(self) -> Mapping[str, Further]:
         return {}
 
-    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
         self.handler = handler
         self.body_received, self.body_stalled, self.client_disconnected = (
             handler.body_received,
             handler.body_stalled,
             handler.client_disconnected,
         )
-        return self, decide
+        return self, shed_policy
 
     def start(self, around: Surroundings) -> None:
         around.tasks.start("a planted fault", self._run)
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -21,7 +21,7 @@
 from thornladder.membership.wire import VERSION
 from thornladder.node.admin.calls import Call, Verdict
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
+from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import Answer, Ending
@@ -67,9 +67,11 @@
     def calls(self) -> Mapping[str, Further]:
         return {"/counters": Further(b"GET", self.snapshot)}
 
-    def between(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
         def turned(offering: str, time_left: float, waited: float) -> float | None:
-            come_back = decide(offering, time_left, waited)
+            come_back = shed_policy(offering, time_left, waited)
             if come_back is not None:
                 row = self.rows[offering]
                 row[TAKEN] += 1
