--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,7 +9,7 @@
 
 from thornladder import decide
 from thornladder.adapter.__main__ import run
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 
 OFFERING = {"Aim": 250000, "Effect": "free", "HardLimit": 1000000, "Name": "look", "Worth": 2.0, "New": 1}
 INFO = {
@@ -55,7 +55,7 @@
      {"kind": "ODD", "I": "node-1"}, SYNC, {**LIST, "Entries": [{"Backend": "b"}]}],
 )  # fmt: skip
 def test_malformed_input_is_refused(bad: dict | str) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         play(SYNC, CREATE, LIST, bad, FLUSH)
 
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -15,7 +15,7 @@
 
 from thornladder import settings
 from thornladder.budget import Budget
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.interface import Entry, FurtherRule, ListKind, Outcome, State
 
 
@@ -191,7 +191,7 @@
 def test_odd_figures_are_refused_by_key(rules: dict, key: str) -> None:
     info = deepcopy(SETTINGS)
     info["Rules"].update(rules)
-    with pytest.raises(Malformed, match=key):
+    with pytest.raises(MalformedError, match=key):
         settings.decisions(info)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from harness import Peer, reply
 from test_process import started
 
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.membership.companion import Seat
 from thornladder.membership.config import load as load_fleet
 from thornladder.membership.core import Core
@@ -82,7 +82,7 @@
 def test_a_bad_fleet_file_is_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text(text)
-    with pytest.raises(Malformed) as error:
+    with pytest.raises(MalformedError) as error:
         load_fleet(str(path))
     assert "\n" not in str(error.value)
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -12,7 +12,7 @@
 from harness import SETTINGS, Bank, Bench, Got, config, entry, reply
 
 from thornladder import decide, settings
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.interface import NO_REPORT, ListKind, Outcome, Report, State
 from thornladder.node import messages
 
@@ -232,7 +232,7 @@
      (settings_with("Prices", "Probe", -0.1), "Prices.Probe")],
 )  # fmt: skip
 def test_settings_that_mix_shapes_or_make_no_sense_are_refused(info: dict, key: str) -> None:
-    with pytest.raises(Malformed, match=rf"^{key}\b"):
+    with pytest.raises(MalformedError, match=rf"^{key}\b"):
         settings.decode({**config([], 1), "settings": info})
 
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -16,7 +16,7 @@
 from test_process import connect, started
 
 from thornladder import settings
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.interface import Kind, Limits, Outcome
 
 pytestmark = pytest.mark.anyio
@@ -157,5 +157,5 @@
     assert settings.lacking(held, new) is None
     del new["settings"]["Classes"][1]["Worth"]
     assert settings.lacking(held, new) == "settings.Classes.pay.Worth"
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         settings.decode(new)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from thornladder.cli import app
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.measures.rollout import REFUSED, SOUND, SOUND_ONE, every_death, simulated, walked
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
@@ -88,7 +88,7 @@
     if not names:
         assert load(path).stage_sizes() == [1, 1, 2]
         return
-    with pytest.raises(Malformed) as error:
+    with pytest.raises(MalformedError) as error:
         load(path)
     assert names in str(error.value) and "\n" not in str(error.value)
 
@@ -215,10 +215,10 @@
     store.close()
     with sqlite3.connect(tmp_path / "log") as base:
         base.execute("update records set text = 'x'")
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         Store(tmp_path / "log").records()
     (tmp_path / "none").write_bytes(b"not a base" * 1000)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         Store(tmp_path / "none")
 
 
--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -13,7 +13,7 @@
 import structlog
 
 from thornladder import settings
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.node import service
 from thornladder.node.companion import Companion
 from thornladder.node.messages import NO_LIST, decode_list
@@ -44,7 +44,7 @@
     try:
         config = settings.load(path, os.environ)
         known = decode_list(config.known) if config.known else NO_LIST
-    except Malformed as error:
+    except MalformedError as error:
         print(f"thornladder: {path}: {error}", file=sys.stderr)
         return 2
     log_as_json()
--- a/thornladder/adapter/__main__.py
+++ b/thornladder/adapter/__main__.py
@@ -9,7 +9,7 @@
 
 from thornladder import decide, settings
 from thornladder.adapter import wire
-from thornladder.fields import Malformed, lookup, parse, seconds, take
+from thornladder.fields import MalformedError, get_choice, get_field, get_seconds, parse_object
 
 Message = dict[str, Any]
 
@@ -73,12 +73,12 @@
 
     def feed(self, message: Message) -> None:
         """One event. An exception of the module ends the day as broken, with its text."""
-        kind = take(message, "kind", str)
-        name = take(message, "I", str)
+        kind = get_field(message, "kind", str)
+        name = get_field(message, "I", str)
         broken = f'{{"kind":"BROKEN","I":{json.dumps(name)},"Words":'
         if kind == "CREATE":
-            seed = take(message, "Nonce64", int)
-            given = settings.decisions(take(message, "Info", dict))
+            seed = get_field(message, "Nonce64", int)
+            given = settings.decisions(get_field(message, "Info", dict))
             try:
                 host = InstanceHost(name, self.reply)
                 self.nodes[name] = decide.Node(host, seed=seed, now=self.now, **given)
@@ -89,13 +89,13 @@
         else:
             handler = self.actions.get(kind)
             if handler is None:
-                raise Malformed(f"kind has the unknown value {kind!r}")
+                raise MalformedError(f"kind has the unknown value {kind!r}")
             node = self.nodes.get(name)
             if node is None:
-                raise Malformed(f"{kind} for {name!r}, which was not created")
+                raise MalformedError(f"{kind} for {name!r}, which was not created")
             try:
                 handler(node, message)
-            except Malformed:
+            except MalformedError:
                 raise
             except Exception as error:
                 self.reply.append(f"{broken}{json.dumps(repr(error))}}}")
@@ -103,36 +103,36 @@
     def _submit(self, node: decide.Node, message: Message) -> None:
         invocation = wire.invocation(message)
         if invocation.offering not in node.offerings:
-            raise Malformed(f"Qos has the unknown value {invocation.offering!r}")
+            raise MalformedError(f"Qos has the unknown value {invocation.offering!r}")
         node.on_invocation(self.now, invocation)
 
     def _ended(self, node: decide.Node, message: Message) -> None:
         node.on_push_ended(
             self.now,
-            take(message, "Id", str),
-            take(message, "Try", int, 0),
-            lookup(wire.OUTCOMES, message, "Reason"),
-            seconds(message, "TimeTaken", 0.0),
+            get_field(message, "Id", str),
+            get_field(message, "Try", int, 0),
+            get_choice(wire.OUTCOMES, message, "Reason"),
+            get_seconds(message, "TimeTaken", 0.0),
             bool(message.get("Last")),
             settings.report(message.get("Report")),
         )
 
     def _bell(self, node: decide.Node, message: Message) -> None:
-        node.on_timer(self.now, take(message, "Nonce", str))
+        node.on_timer(self.now, get_field(message, "Nonce", str))
 
     def _dropped(self, node: decide.Node, message: Message) -> None:
-        node.on_client_gone(self.now, take(message, "Id", str))
+        node.on_client_gone(self.now, get_field(message, "Id", str))
 
     def _endpoints(self, node: decide.Node, message: Message) -> None:
-        node.on_list(self.now, lookup(wire.SCOPES, message, "Scope"), wire.entries(message))
+        node.on_list(self.now, get_choice(wire.SCOPES, message, "Scope"), wire.entries(message))
 
     def _echo(self, node: decide.Node, message: Message) -> None:
-        outcome = lookup(wire.OUTCOMES, message, "Reason")
+        outcome = get_choice(wire.OUTCOMES, message, "Reason")
         report = settings.report(message.get("Report"))
-        node.on_probe_ended(self.now, take(message, "Backend", str), outcome, report)
+        node.on_probe_ended(self.now, get_field(message, "Backend", str), outcome, report)
 
     def _head_received(self, node: decide.Node, message: Message) -> None:
-        node.on_answer_started(self.now, take(message, "Id", str), take(message, "Try", int, 0))
+        node.on_answer_started(self.now, get_field(message, "Id", str), get_field(message, "Try", int, 0))
 
     def _mail(self, node: decide.Node, message: Message) -> None:
         """Nodes share nothing: a message from another node is read and left."""
@@ -144,18 +144,18 @@
     for line in source:
         if not line.strip():
             continue
-        message = parse(line)
+        message = parse_object(line)
         kind = message.get("kind")
         if kind == "SYNC":
             if in_batch:
-                raise Malformed("SYNC inside a batch")
+                raise MalformedError("SYNC inside a batch")
             in_batch = True
-            now = seconds(message, "Time")
+            now = get_seconds(message, "Time")
             if now < adapter.now:
-                raise Malformed("Time runs backwards")
+                raise MalformedError("Time runs backwards")
             adapter.now = now
         elif not in_batch:
-            raise Malformed(f"{kind!r} outside a batch")
+            raise MalformedError(f"{kind!r} outside a batch")
         elif kind == "FLUSH":
             in_batch = False
             adapter.reply.append('{"kind":"NEXT"}\n')
@@ -165,7 +165,7 @@
         else:
             adapter.feed(message)
     if in_batch:
-        raise Malformed("the input ends inside a batch")
+        raise MalformedError("the input ends inside a batch")
 
 
 def main() -> int:
@@ -173,7 +173,7 @@
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     try:
         run(sys.stdin, sys.stdout)
-    except (Malformed, UnicodeDecodeError) as error:
+    except (MalformedError, UnicodeDecodeError) as error:
         print(f"thornladder: malformed input: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/thornladder/adapter/wire.py
+++ b/thornladder/adapter/wire.py
@@ -5,7 +5,15 @@
 from typing import Any
 
 from thornladder import interface as api
-from thornladder.fields import MICRO, Malformed, lookup, objects, optional, seconds, take
+from thornladder.fields import (
+    MICROS_PER_SECOND,
+    MalformedError,
+    get_choice,
+    get_field,
+    get_objects,
+    get_optional,
+    get_seconds,
+)
 
 OUTCOMES = {
     "OK": api.Outcome.COMPLETED,
@@ -28,37 +36,37 @@
 
 
 def micros(span: float) -> int:
-    return round(span * MICRO)
+    return round(span * MICROS_PER_SECOND)
 
 
 def entries(message: dict[str, Any]) -> list[api.Entry]:
     found = []
-    for line in objects(message, "Entries"):
-        started = take(line, "StartedAt", int, 0)
+    for line in get_objects(message, "Entries"):
+        started = get_field(line, "StartedAt", int, 0)
         found.append(
             api.Entry(
-                backend=take(line, "Backend", str),
-                state=lookup(STATES, line, "Readiness"),
-                zone=take(line, "Az", str, ""),
-                cell=take(line, "Pack", int, 0),
-                weight=optional(line, "Weight", float),
-                started_at=started / MICRO if started else None,
-                machine=take(line, "Sku", str, ""),
+                backend=get_field(line, "Backend", str),
+                state=get_choice(STATES, line, "Readiness"),
+                zone=get_field(line, "Az", str, ""),
+                cell=get_field(line, "Pack", int, 0),
+                weight=get_optional(line, "Weight", float),
+                started_at=started / MICROS_PER_SECOND if started else None,
+                machine=get_field(line, "Sku", str, ""),
             )
         )
     return found
 
 
 def invocation(message: dict[str, Any]) -> api.Invocation:
-    flags = take(message, "Flags", int, 0)
+    flags = get_field(message, "Flags", int, 0)
     tenant = message.get("UserGroup") or ""
     if not isinstance(tenant, str):
-        raise Malformed("UserGroup must be text")
+        raise MalformedError("UserGroup must be text")
     return api.Invocation(
-        id=take(message, "Id", str),
-        offering=take(message, "Qos", str),
+        id=get_field(message, "Id", str),
+        offering=get_field(message, "Qos", str),
         tenant=tenant,
-        time_left=seconds(message, "Grace"),
-        key=optional(message, "Resource", int),
+        time_left=get_seconds(message, "Grace"),
+        key=get_optional(message, "Resource", int),
         again=bool(flags & AGAIN),
     )
--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -11,7 +11,7 @@
 import typer
 
 from thornladder.asking import fetch
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help=__doc__, pretty_exceptions_enable=False)
 rig = typer.Typer(no_args_is_help=True, help="A fleet on this machine: nodes, backends, clients, and faults.")
@@ -45,7 +45,7 @@
 
         try:
             companions.append(Membership(load(fleet)))
-        except Malformed as error:
+        except MalformedError as error:
             refuse(f"{fleet}: {error}")
     if config:
         os.environ["EDGE_CONFIG"] = config
@@ -91,7 +91,7 @@
 
     try:
         config = keeper.load(file)
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
     log_as_json()
     try:
@@ -108,7 +108,7 @@
 
     try:
         return plan.load(file)
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
 
 
@@ -117,7 +117,7 @@
 
     try:
         return store.Store(driver.log_of(file))
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{driver.log_of(file)}: {error}")
 
 
@@ -158,7 +158,7 @@
     store = _log(file)
     try:
         run = driver.Run(change, store, lambda words: print(words, file=sys.stderr, flush=True))
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
     phase = anyio.run(run.run)
     why = f", {run.driver.words}" if run.driver.words != phase.value else ""
@@ -177,7 +177,7 @@
     try:
         run = driver.Run(change, store, print)
         print(driver.status(store, anyio.run(run.look)))
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
 
 
@@ -208,7 +208,7 @@
 
     try:
         plan = play.load(file)
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
     try:
         told = play.run(plan, seed, progress=None if quiet else lambda words: print(words, file=sys.stderr))
--- a/thornladder/membership/config.py
+++ b/thornladder/membership/config.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from thornladder import toml
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.membership.wire import split_address
 
 
@@ -22,15 +22,15 @@
 
 
 def load(path: str) -> FleetConfig:
-    """Raises Malformed with one line that names the field."""
+    """Raises MalformedError with one line that names the field."""
     config = toml.read(path, FleetConfig)
     for field, text in (("listen", config.listen), ("advertise", config.advertise or config.listen)):
         if split_address(text) is None:
-            raise Malformed(f"{field}: {text!r} is not an address and port")
+            raise MalformedError(f"{field}: {text!r} is not an address and port")
     if bad := next((seed for seed in config.seeds if split_address(seed) is None), None):
-        raise Malformed(f"seeds: {bad!r} is not an address and port")
+        raise MalformedError(f"seeds: {bad!r} is not an address and port")
     if not config.fleet:
-        raise Malformed("fleet must not be empty")
+        raise MalformedError("fleet must not be empty")
     if config.hold < 0.0 or config.lower_after < 0.0:
-        raise Malformed("hold and lower_after must not be negative")
+        raise MalformedError("hold and lower_after must not be negative")
     return config
--- a/thornladder/node/admin/calls.py
+++ b/thornladder/node/admin/calls.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from thornladder.fields import Malformed, parse, take
+from thornladder.fields import MalformedError, get_field, parse_object
 from thornladder.node import messages
 
 MOST_HEAD = 8 * 1024  # bytes: an operator's call has a few short lines
@@ -117,8 +117,8 @@
         if self.name not in (Name.ENTER, Name.EXIT):
             return Call(self.name)
         try:
-            backend = take(parse(self.body), "host", str)
-        except Malformed as error:
+            backend = get_field(parse_object(self.body), "host", str)
+        except MalformedError as error:
             return no(400, str(error))
         if not 0 < len(backend) <= MOST_ID:
             return no(400, "host must be the id of a backend")
--- a/thornladder/node/discovery/watch.py
+++ b/thornladder/node/discovery/watch.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.interface import ListKind
 from thornladder.node import http1, messages
 from thornladder.node.http1 import Cause, Connect, Failure, Line
@@ -151,7 +151,7 @@
             if isinstance(reply, Reply) and reply.status == 200:
                 try:
                     answer = messages.decode_list(reply.body)
-                except Malformed:
+                except MalformedError:
                     answer = None
             elif isinstance(reply, Reply) and 400 <= reply.status < 500:
                 self.version = None  # it does not know the version: the next call is for the whole list
--- a/thornladder/node/handover.py
+++ b/thornladder/node/handover.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from thornladder.fields import Malformed, objects, parse, take
+from thornladder.fields import MalformedError, get_field, get_objects, parse_object
 from thornladder.node.maintenance import Mark
 
 FORM = 1  # of the files: another form is of another version, and counts as none
@@ -64,8 +64,8 @@
                 head, _, text = file.read(MOST_FILE).partition(b"\n")
             if head != b"%d %08x" % (FORM, zlib.crc32(text)):
                 return None
-            told = parse(text)
-        except (OSError, Malformed):
+            told = parse_object(text)
+        except (OSError, MalformedError):
             return None
         if told.get("node") != self.node:
             return None
@@ -181,11 +181,11 @@
     def load(self, now: float) -> Learned:
         starts: dict[str, float] = {}
         told, room = self.sheet.read() or {}, 0.0
-        with suppress(Malformed):
-            for line in objects(told, "starts"):
-                starts[take(line, "id", str)] = take(line, "at", float)
-            if 0.0 <= now - take(told, "at", float, 0.0) < self.FRESH:
-                room = max(take(told, "room", float, 0.0), 0.0)
+        with suppress(MalformedError):
+            for line in get_objects(told, "starts"):
+                starts[get_field(line, "id", str)] = get_field(line, "at", float)
+            if 0.0 <= now - get_field(told, "at", float, 0.0) < self.FRESH:
+                room = max(get_field(told, "room", float, 0.0), 0.0)
         return Learned(starts, room)
 
     def keep(self, learned: Learned, now: float) -> None:
@@ -208,9 +208,11 @@
         self.seen = self.sheet.stamp()
         told = self.sheet.read()
         marks: dict[str, Mark] = {}
-        with suppress(Malformed):
-            for line in objects(told or {}, "marks"):
-                marks[take(line, "id", str)] = Mark(take(line, "out", bool), take(line, "at", float))
+        with suppress(MalformedError):
+            for line in get_objects(told or {}, "marks"):
+                marks[get_field(line, "id", str)] = Mark(
+                    get_field(line, "out", bool), get_field(line, "at", float)
+                )
         return marks
 
     def news(self) -> dict[str, Mark]:
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -11,7 +11,7 @@
 import h11
 
 from thornladder import interface as api
-from thornladder.fields import Malformed, lookup, objects, optional, parse, take
+from thornladder.fields import MalformedError, get_choice, get_field, get_objects, get_optional, parse_object
 from thornladder.node.flow import Flow
 from thornladder.settings import Address, address, report
 
@@ -241,8 +241,8 @@
 def decode_report(body: bytes) -> api.Report:
     """The load report in a probe's answer; what cannot be read tells nothing and ends nothing."""
     try:
-        return report(parse(body) if len(body) <= MOST_REPORT else None)
-    except Malformed:
+        return report(parse_object(body) if len(body) <= MOST_REPORT else None)
+    except MalformedError:
         return api.NO_REPORT
 
 
@@ -263,27 +263,27 @@
 
 
 def decode_list(body: bytes | dict[str, Any]) -> ListAnswer:
-    message = parse(body) if isinstance(body, bytes) else body
-    whole = take(message, "reset", bool, False)
+    message = parse_object(body) if isinstance(body, bytes) else body
+    whole = get_field(message, "reset", bool, False)
     answer = ListAnswer(
-        version=take(message, "generation", int),
+        version=get_field(message, "generation", int),
         kind=api.ListKind.WHOLE if whole else api.ListKind.CHANGES,
         entries=[],
         addresses={},
     )
-    for line in objects(message, "instances"):
-        id = take(line, "instanceId", str)
-        started = take(line, "startedAtMs", int, 0)
+    for line in get_objects(message, "instances"):
+        id = get_field(line, "instanceId", str)
+        started = get_field(line, "startedAtMs", int, 0)
         entry = api.Entry(
             backend=id,
-            state=lookup(STATES, line, "lifecycle"),
-            zone=take(line, "zone", str, ""),
-            cell=take(line, "cell", int, 0),
-            weight=optional(line, "weight", float),
+            state=get_choice(STATES, line, "lifecycle"),
+            zone=get_field(line, "zone", str, ""),
+            cell=get_field(line, "cell", int, 0),
+            weight=get_optional(line, "weight", float),
             started_at=started / 1000.0 if started else None,
-            machine=take(line, "machineType", str, ""),
+            machine=get_field(line, "machineType", str, ""),
         )
         answer.entries.append(entry)
         if entry.state is not api.State.GONE:
-            answer.addresses[id] = address(take(line, "hostPort", str))
+            answer.addresses[id] = address(get_field(line, "hostPort", str))
     return answer
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -13,7 +13,7 @@
 from anyio.abc import TaskStatus
 
 from thornladder import settings
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.node.admin.server import Admin
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import Pushes
@@ -233,8 +233,8 @@
         try:
             config = settings.load(self.path)
             if name := settings.lacking(self.config.raw, config.raw):
-                raise Malformed(f"{name} is missing")
-        except Malformed as error:
+                raise MalformedError(f"{name} is missing")
+        except MalformedError as error:
             self.log.warning("the new configuration is bad, the old one stays", error=str(error))
             return
         if config.raw["settings"] != self.config.raw["settings"]:
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -25,7 +25,7 @@
 from thornladder import toml
 from thornladder.asking import fetch
 from thornladder.children import ended_with_us
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.rig.clients import Clients
 from thornladder.rig.faults import Fault, Weather, check, moves
 from thornladder.rig.processes import NodeProcess
@@ -112,10 +112,10 @@
 
 
 def load(path: Path) -> Plan:
-    """Raises Malformed with one line that names the field."""
+    """Raises MalformedError with one line that names the field."""
     plan = toml.read(path, Plan)
     if wrong := sound(plan):
-        raise Malformed(wrong)
+        raise MalformedError(wrong)
     return plan
 
 
--- a/thornladder/rollout/driver.py
+++ b/thornladder/rollout/driver.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from thornladder.asking import call
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.rollout.core import Act, Ask, Driver, Phase, Seen, Tell, Write
 from thornladder.rollout.plan import Plan
 from thornladder.rollout.store import Store
@@ -30,10 +30,10 @@
     def __init__(
         self, plan: Plan, store: Store, say: Callable[[str], None], watcher: Watcher | None = None
     ) -> None:  # fmt: skip
-        """Raises Malformed where the log is another plan's, or damaged."""
+        """Raises MalformedError where the log is another plan's, or damaged."""
         text = msgspec.json.encode(plan).decode()
         if store.about("plan", text) != text:
-            raise Malformed("the log beside it is of another plan: undo that one, or move the log away")
+            raise MalformedError("the log beside it is of another plan: undo that one, or move the log away")
         name = store.about("driver", secrets.token_hex(8))
         records = [record for _, record in store.records()]
         self.plan, self.store, self.say, self.watcher = plan, store, say, watcher
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -25,7 +25,7 @@
 from thornladder import toml
 from thornladder.asking import fetch
 from thornladder.children import ended_with_us
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.membership.wire import split_address
 from thornladder.node.admin.calls import Call, Name, Verdict, no
 from thornladder.node.admin.server import Admin
@@ -61,19 +61,19 @@
 
 
 def load(path: Path) -> KeeperConfig:
-    """Raises Malformed with one line that names the field."""
+    """Raises MalformedError with one line that names the field."""
     config = toml.read(path, KeeperConfig)
     try:
         node = json.loads(Path(config.config).read_bytes())
         if not isinstance(node.get("settings"), dict):
-            raise Malformed("config: no settings in that file")
+            raise MalformedError("config: no settings in that file")
     except OSError as error:
-        raise Malformed(f"{error.filename} cannot be read: {error.strerror}") from None
+        raise MalformedError(f"{error.filename} cannot be read: {error.strerror}") from None
     except (ValueError, AttributeError) as error:
-        raise Malformed(str(error).replace("\n", " ")) from None
+        raise MalformedError(str(error).replace("\n", " ")) from None
     for address in (config.listen, *config.peers, *config.admin):
         if split_address(address) is None:
-            raise Malformed(f"{address!r} is not HOST:PORT")
+            raise MalformedError(f"{address!r} is not HOST:PORT")
     return config
 
 
--- a/thornladder/rollout/plan.py
+++ b/thornladder/rollout/plan.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from thornladder import toml
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.membership.wire import split_address
 
 
@@ -70,10 +70,10 @@
 
 
 def load(path: Path) -> Plan:
-    """Raises Malformed with one line that names the field."""
+    """Raises MalformedError with one line that names the field."""
     plan = toml.read(path, Plan)
     if wrong := unsound(plan):
-        raise Malformed(wrong)
+        raise MalformedError(wrong)
     return plan
 
 
--- a/thornladder/rollout/store.py
+++ b/thornladder/rollout/store.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.rollout.core import Record
 
 TABLES = """
@@ -24,7 +24,7 @@
 
 class Store:
     def __init__(self, path: Path) -> None:
-        """Raises Malformed where the file is none of ours."""
+        """Raises MalformedError where the file is none of ours."""
         try:
             self.base = sqlite3.connect(path, isolation_level=None, timeout=10.0)
             self.base.execute("pragma journal_mode=wal")
@@ -32,7 +32,7 @@
             self.base.executescript(TABLES)
             self.base.execute("pragma synchronous=full")  # each record is on the disk, with all before it
         except sqlite3.DatabaseError as error:
-            raise Malformed(f"no log of a change: {error}") from None
+            raise MalformedError(f"no log of a change: {error}") from None
 
     def close(self) -> None:
         self.base.close()
@@ -49,11 +49,11 @@
         self.base.execute("insert into records (at, sum, text) values (?, ?, ?)", row)
 
     def records(self) -> list[tuple[float, Record]]:
-        """Raises Malformed where one does not have its sum: what was meant is then not known."""
+        """Raises MalformedError where one does not have its sum: what was meant is then not known."""
         rows = self.base.execute("select number, at, sum, text from records order by number").fetchall()
         for number, _, total, text in rows:
             if not isinstance(text, bytes) or zlib.crc32(text) != total:
-                raise Malformed(f"record {number} of the log is damaged")
+                raise MalformedError(f"record {number} of the log is damaged")
         return [(at, msgspec.json.decode(text, type=Record)) for _, at, _, text in rows]
 
     def wish(self, word: str) -> None:
--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from thornladder import interface as api
-from thornladder.fields import Malformed, lookup, objects, parse, seconds, take
+from thornladder.fields import MalformedError, get_choice, get_field, get_objects, get_seconds, parse_object
 
 KINDS = {"free": api.Kind.REPEATABLE, "guarded": api.Kind.TAGGED, "single_shot": api.Kind.ONCE_ONLY}
 
@@ -26,60 +26,60 @@
 
 def decisions(info: dict[str, Any]) -> dict[str, Any]:
     """The keyword arguments of `decide.Node` that come from the settings."""
-    limits = take(info, "PolicyLimits", dict)
-    rules = take(info, "Rules", dict)
-    offerings = objects(info, "Classes")
+    limits = get_field(info, "PolicyLimits", dict)
+    rules = get_field(info, "Rules", dict)
+    offerings = get_objects(info, "Classes")
     if not offerings:
-        raise Malformed("Classes must not be empty")
-    names = [take(line, "Name", str) for line in offerings]
+        raise MalformedError("Classes must not be empty")
+    names = [get_field(line, "Name", str) for line in offerings]
     if twice := next((name for name in names if names.count(name) > 1), None):
-        raise Malformed(f"Classes names {twice!r} twice")
+        raise MalformedError(f"Classes names {twice!r} twice")
     return {
-        "zone": take(info, "Az", str, ""),
-        "rank": take(info, "Rank", int, 0),
-        "nodes": max(1, take(info, "ReplicasOfMe", int)),
+        "zone": get_field(info, "Az", str, ""),
+        "rank": get_field(info, "Rank", int, 0),
+        "nodes": max(1, get_field(info, "ReplicasOfMe", int)),
         "offerings": [_offering(line) for line in offerings],
-        "tenants": [_tenant(line) for line in objects(info, "Tenants")],
-        "over_share_worth": take(info, "OverShareWorth", float, 1.0),
-        "utility_by_work": take(info, "ValueBy", str, "request") == "work",
+        "tenants": [_tenant(line) for line in get_objects(info, "Tenants")],
+        "over_share_worth": get_field(info, "OverShareWorth", float, 1.0),
+        "utility_by_work": get_field(info, "ValueBy", str, "request") == "work",
         "limits": api.Limits(
-            max_pushes=_above_0("MaxAttempts", take(limits, "MaxAttempts", int)),
-            second_copies=take(limits, "SecondCopies", bool, False),
-            cancelling=take(limits, "Cancelling", bool, False),
-            probes=take(limits, "Probes", bool, False),
-            come_back=seconds(limits, "MaxRetryAfter", 0.0)
-            if take(limits, "RetryAfter", bool, False)
+            max_pushes=_above_0("MaxAttempts", get_field(limits, "MaxAttempts", int)),
+            second_copies=get_field(limits, "SecondCopies", bool, False),
+            cancelling=get_field(limits, "Cancelling", bool, False),
+            probes=get_field(limits, "Probes", bool, False),
+            come_back=get_seconds(limits, "MaxRetryAfter", 0.0)
+            if get_field(limits, "RetryAfter", bool, False)
             else 0.0,
             asks=_asks(info, limits),
             further=_further(rules),
-            soft_removal=take(rules, "SoftRemoval", bool, False),
+            soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
         "cold": api.ColdRule(
-            share=take(rules, "ColdShare", float),
-            warm_up=seconds(rules, "WarmUp"),
-            multiple=_above_0("FallMultiple", take(rules, "FallMultiple", float)),
-            span=_above_0("Fall", seconds(rules, "Fall")),
+            share=get_field(rules, "ColdShare", float),
+            warm_up=get_seconds(rules, "WarmUp"),
+            multiple=_above_0("FallMultiple", get_field(rules, "FallMultiple", float)),
+            span=_above_0("Fall", get_seconds(rules, "Fall")),
         ),
-        "worst_offering": _worst_offering(take(info, "Blend", dict, {})),
-        "must_ask_in": 0.0 if list_is_told(info) else seconds(rules, "MustAskIn", 10.0),
+        "worst_offering": _worst_offering(get_field(info, "Blend", dict, {})),
+        "must_ask_in": 0.0 if list_is_told(info) else get_seconds(rules, "MustAskIn", 10.0),
     }
 
 
 def _worst_offering(blend: dict[str, Any]) -> float:
     """What share of the result goes by the worst-served offering alone."""
-    parts = {name: take(blend, name, float, 0.0) for name in BLEND}
+    parts = {name: get_field(blend, name, float, 0.0) for name in BLEND}
     negative = next((name for name, value in parts.items() if value < 0.0), None)
     if negative:
-        raise Malformed(f"Blend.{negative} must not be negative")
+        raise MalformedError(f"Blend.{negative} must not be negative")
     return parts["WorstClass"] / (sum(parts.values()) or 1.0)
 
 
 def _asks(info: dict[str, Any], limits: dict[str, Any]) -> float:
     """Probes for load reports that an invocation may cost; none where probes bring no load."""
-    price = take(take(info, "Prices", dict, {}), "Probe", float, 0.0)
+    price = get_field(get_field(info, "Prices", dict, {}), "Probe", float, 0.0)
     if price < 0.0:
-        raise Malformed("Prices.Probe must not be negative")
-    if not reports_by_probes(info) or not take(limits, "Probes", bool, False):
+        raise MalformedError("Prices.Probe must not be negative")
+    if not reports_by_probes(info) or not get_field(limits, "Probes", bool, False):
         return 0.0
     return min(PROBE_SPENDING / price, MOST_ASKS) if price > 0.0 else MOST_ASKS
 
@@ -91,13 +91,13 @@
     """The budget of pushes beyond the first. Without either figure none is stated."""
     if rules.get("ExtraFloor") is None and rules.get("RepeatRatio") is None:
         return None
-    few, share = (take(rules, name, float, 0.0) for name in ("ExtraFloor", "RepeatRatio"))
-    span = seconds(rules, "BudgetSpan")
+    few, share = (get_field(rules, name, float, 0.0) for name in ("ExtraFloor", "RepeatRatio"))
+    span = get_seconds(rules, "BudgetSpan")
     for name, value, most in (("ExtraFloor", few, MOST_FEW), ("RepeatRatio", share, MOST_RATIO)):
         if not 0.0 <= value <= most:
-            raise Malformed(f"Rules.{name} must be from 0 to {most:g}")
+            raise MalformedError(f"Rules.{name} must be from 0 to {most:g}")
     if not 0.0 < span <= LONGEST_SPAN:
-        raise Malformed(f"Rules.BudgetSpan must be above 0 and at most {LONGEST_SPAN:g} s")
+        raise MalformedError(f"Rules.BudgetSpan must be above 0 and at most {LONGEST_SPAN:g} s")
     return api.FurtherRule(few, share, span)
 
 
@@ -122,26 +122,26 @@
 
 def check_shape(info: dict[str, Any]) -> None:
     """Refuse settings of which some speak of a node for each client and some of a pool of nodes."""
-    told, limits, blend = (take(info, name, dict, {}) for name in ("Report", "PolicyLimits", "Blend"))
+    told, limits, blend = (get_field(info, name, dict, {}) for name in ("Report", "PolicyLimits", "Blend"))
     own_node = reports_by_probes(info)
     if own_node:
-        if not take(limits, "Probes", bool, False):
-            raise Malformed("PolicyLimits.Probes must be true where Report.Source is 'pull'")
-        if "rif" not in take(told, "Fields", list, []):
-            raise Malformed("Report.Fields must name 'rif' where Report.Source is 'pull'")
-        if take(info, "Tenants", list, []):
-            raise Malformed("Tenants must be empty where Report.Source is 'pull'")
+        if not get_field(limits, "Probes", bool, False):
+            raise MalformedError("PolicyLimits.Probes must be true where Report.Source is 'pull'")
+        if "rif" not in get_field(told, "Fields", list, []):
+            raise MalformedError("Report.Fields must name 'rif' where Report.Source is 'pull'")
+        if get_field(info, "Tenants", list, []):
+            raise MalformedError("Tenants must be empty where Report.Source is 'pull'")
     for part, name in () if own_node else OWN_NODE_ONLY:
-        if take(info, part, dict, {}).get(name):
-            raise Malformed(f"{part}.{name} must be absent or 0 where Report.Source is not 'pull'")
+        if get_field(info, part, dict, {}).get(name):
+            raise MalformedError(f"{part}.{name} must be absent or 0 where Report.Source is not 'pull'")
     for weight, figure in PAIRS:
-        if take(blend, weight, float, 0.0) > 0.0 and not take(blend, figure, float, 0.0) > 0.0:
-            raise Malformed(f"Blend.{figure} must be above 0 where Blend.{weight} is")
+        if get_field(blend, weight, float, 0.0) > 0.0 and not get_field(blend, figure, float, 0.0) > 0.0:
+            raise MalformedError(f"Blend.{figure} must be above 0 where Blend.{weight} is")
 
 
 def reports_by_probes(info: dict[str, Any]) -> bool:
-    told = take(info, "Report", dict, {})
-    return "Source" in told and lookup(REPORT_SOURCES, told, "Source")
+    told = get_field(info, "Report", dict, {})
+    return "Source" in told and get_choice(REPORT_SOURCES, told, "Source")
 
 
 def list_is_told(info: dict[str, Any]) -> bool:
@@ -151,7 +151,7 @@
 
 def _above_0(name: str, value: Any) -> Any:
     if not value > 0:
-        raise Malformed(f"{name} must be above 0")
+        raise MalformedError(f"{name} must be above 0")
     return value
 
 
@@ -179,22 +179,22 @@
 
 def _offering(line: dict[str, Any]) -> api.Offering:
     return api.Offering(
-        name=take(line, "Name", str),
-        kind=lookup(KINDS, line, "Effect"),
-        group=take(line, "Group", str, "all"),
-        window=seconds(line, "Window", 0.0),
-        target_time=_above_0("Aim", seconds(line, "Aim")),
-        cut_off=_above_0("HardLimit", seconds(line, "HardLimit")),
-        utility=take(line, "Worth", float),
-        late_share=take(line, "LateWorth", float, 0.0),
+        name=get_field(line, "Name", str),
+        kind=get_choice(KINDS, line, "Effect"),
+        group=get_field(line, "Group", str, "all"),
+        window=get_seconds(line, "Window", 0.0),
+        target_time=_above_0("Aim", get_seconds(line, "Aim")),
+        cut_off=_above_0("HardLimit", get_seconds(line, "HardLimit")),
+        utility=get_field(line, "Worth", float),
+        late_share=get_field(line, "LateWorth", float, 0.0),
     )
 
 
 def _tenant(line: dict[str, Any]) -> api.Tenant:
     return api.Tenant(
-        name=take(line, "Name", str),
-        share=take(line, "Share", float),
-        allowance=take(line, "AllowancePerS", float, 0.0),
+        name=get_field(line, "Name", str),
+        share=get_field(line, "Share", float),
+        allowance=get_field(line, "AllowancePerS", float, 0.0),
     )
 
 
@@ -231,41 +231,41 @@
 
 def load(path: str, environment: Mapping[str, str] = NOTHING) -> Config:
     try:
-        message = parse(Path(path).read_bytes())
+        message = parse_object(Path(path).read_bytes())
     except OSError as error:
-        raise Malformed(f"cannot be read: {error.strerror}") from None
+        raise MalformedError(f"cannot be read: {error.strerror}") from None
     return decode(message, environment)
 
 
 def decode(message: dict[str, Any], environment: Mapping[str, str] = NOTHING) -> Config:
     """What only this process is told, by its environment, goes before the file."""
-    info = take(message, "settings", dict)
-    limits, rules = take(info, "PolicyLimits", dict), take(info, "Rules", dict)
-    given = take(message, "limits", dict, {})
+    info = get_field(message, "settings", dict)
+    limits, rules = get_field(info, "PolicyLimits", dict), get_field(info, "Rules", dict)
+    given = get_field(message, "limits", dict, {})
     check_shape(info)
     try:
-        seed = int(take(message, "seed", str), 16)
+        seed = int(get_field(message, "seed", str), 16)
     except ValueError:
-        raise Malformed("seed must be hex digits") from None
+        raise MalformedError("seed must be hex digits") from None
     return Config(
-        name=take(message, "name", str, ""),
-        listen=address(take(message, "listen", str)),
-        discovery=address(take(message, "discovery", str)),
+        name=get_field(message, "name", str, ""),
+        listen=address(get_field(message, "listen", str)),
+        discovery=address(get_field(message, "discovery", str)),
         seed=seed,
-        cores=take(given, "cores", float, 1.0),
-        sockets=take(given, "sockets", int, 1024),
-        memory=int(take(given, "memory_mb", float, 192.0) * 2**20),
-        known=take(message, "known", dict, {}),
+        cores=get_field(given, "cores", float, 1.0),
+        sockets=get_field(given, "sockets", int, 1024),
+        memory=int(get_field(given, "memory_mb", float, 192.0) * 2**20),
+        known=get_field(message, "known", dict, {}),
         decisions=decisions(info),
         transport=Transport(
-            connect_time_out=seconds(limits, "ConnectTimeout", 0.25),
-            idle_close=seconds(limits, "IdleClose", 15.0),
-            drain_grace=seconds(rules, "DrainGrace", 1.0),
-            soft_removal=take(rules, "SoftRemoval", bool, False),
+            connect_time_out=get_seconds(limits, "ConnectTimeout", 0.25),
+            idle_close=get_seconds(limits, "IdleClose", 15.0),
+            drain_grace=get_seconds(rules, "DrainGrace", 1.0),
+            soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
         list_is_told=list_is_told(info),
         raw=message,
-        admin=_admin(environment.get("EDGE_ADMIN_ADDR") or take(message, "admin_addr", str, "")),
+        admin=_admin(environment.get("EDGE_ADMIN_ADDR") or get_field(message, "admin_addr", str, "")),
         folder=environment.get("TMPDIR") or tempfile.gettempdir(),
         inherited=_inherited(environment.get("EDGE_INHERITED_FD", "")),
     )
@@ -274,18 +274,18 @@
 def _admin(text: str) -> Address | None:
     try:
         return address(text) if text else None
-    except Malformed as error:
-        raise Malformed(f"admin_addr: {error}") from None
+    except MalformedError as error:
+        raise MalformedError(f"admin_addr: {error}") from None
 
 
 def _inherited(text: str) -> int | None:
     if text and not (text.isdecimal() and len(text) <= 6):
-        raise Malformed(f"EDGE_INHERITED_FD: {text!r} is not a descriptor")
+        raise MalformedError(f"EDGE_INHERITED_FD: {text!r} is not a descriptor")
     return int(text) if text else None
 
 
 def address(text: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not (colon and host and port.isdecimal() and 0 <= int(port) < 65536):
-        raise Malformed(f"{text!r} is not an address and port")
+        raise MalformedError(f"{text!r} is not an address and port")
     return host.strip("[]"), int(port)
--- a/thornladder/toml.py
+++ b/thornladder/toml.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 
 T = TypeVar("T")
 
 
 def read(path: Path | str, kind: type[T]) -> T:
-    """Raises Malformed with one line that names the field."""
+    """Raises MalformedError with one line that names the field."""
     try:
         return msgspec.toml.decode(Path(path).read_bytes(), type=kind)
     except OSError as error:
-        raise Malformed(f"cannot be read: {error.strerror}") from None
+        raise MalformedError(f"cannot be read: {error.strerror}") from None
     except (msgspec.MsgspecError, ValueError) as error:
-        raise Malformed(str(error).replace("\n", " ")) from None
+        raise MalformedError(str(error).replace("\n", " ")) from None
