--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -11,14 +11,14 @@
 import anyio
 import pytest
 from harness import SETTINGS, Got, Log, Peer, config, listed, reply, until
-from test_process import connect, started
+from test_process import connect, running_node
 
 from thornladder import settings
 from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Sheet
 from thornladder.node.maintenance import Mark
 from thornladder.node.service import Handover
 
-OURS = Deployment.of(settings.decisions(SETTINGS))
+OURS = Deployment.of(settings.policy_arguments(SETTINGS))
 GROWN = Deployment(OURS.zone, OURS.classes | {"extra"})
 CUT = Deployment(OURS.zone, frozenset({"pay"}))
 OTHERS = Deployment(OURS.zone, frozenset({"open-gate", "seat-map"}))
@@ -83,7 +83,7 @@
             await super()._talk(stream)
 
     backends = [Held(answer), Held(answer)]
-    async with started(tmp_path, *backends) as (process, port):
+    async with running_node(tmp_path, *backends) as (process, port):
         first = await connect(port)
         await first.send("a", "look", 900)
         await tried.wait()  # it was taken, and a first attempt is on its way
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -192,14 +192,14 @@
     info = deepcopy(SETTINGS)
     info["Rules"].update(rules)
     with pytest.raises(MalformedError, match=key):
-        settings.decisions(info)
+        settings.policy_arguments(info)
 
 
 def test_figures_of_the_budget_are_taken_and_absent_ones_bound_nothing() -> None:
     info = deepcopy(SETTINGS)
     info["Rules"].update({"ExtraFloor": 2, "RepeatRatio": 0.15, "BudgetSpan": 10_000_000})
     info["Rules"]["SoftRemoval"] = True
-    limits = settings.decisions(info)["limits"]
+    limits = settings.policy_arguments(info)["limits"]
     assert limits.further == FurtherRule(2.0, 0.15, 10.0) and limits.soft_removal
-    free = settings.decisions(SETTINGS)["limits"]
+    free = settings.policy_arguments(SETTINGS)["limits"]
     assert not free.soft_removal and free.further is None
--- a/tests/test_end_crossings.py
+++ b/tests/test_end_crossings.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 from harness import READY, Client, Got, Peer, reply, until
-from test_process import connect, started
+from test_process import connect, running_node
 
 from thornladder.node.messages import MOST_WHOLE
 
@@ -98,7 +98,7 @@
     moment: str, more: tuple[int, ...], tmp_path: Path
 ) -> None:
     backend = Gated(lambda got: reply(200, f"{got.headers['x-call-id']} {len(got.body)}".encode()))
-    async with started(tmp_path, backend) as (process, port):
+    async with running_node(tmp_path, backend) as (process, port):
 
         async def end() -> None:
             await leaving(process, port)
@@ -125,7 +125,7 @@
         return reply(503, X_Rejected="1") if len(turned) == 1 else reply(200, b"second")
 
     backends = [Gated(answer), Gated(answer)]
-    async with started(tmp_path, *backends) as (process, port):
+    async with running_node(tmp_path, *backends) as (process, port):
         client = await connect(port)
         await client.send("a", "pay", 900, b"x")
         await until(lambda: any(backend.asked for backend in backends))
@@ -138,7 +138,7 @@
 
 async def test_a_large_answer_that_goes_out_at_the_end_comes_whole(tmp_path: Path) -> None:
     backend = Peer(lambda got: reply(200, b"y" * LARGE))
-    async with started(tmp_path, backend) as (process, port):
+    async with running_node(tmp_path, backend) as (process, port):
         client = await connect(port)
         await client.send("a", "look", 900)
         # Nothing is read yet: what the kernels do not hold waits in the node.
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -28,7 +28,7 @@
     reply,
     until,
 )
-from test_process import connect, started
+from test_process import connect, running_node
 
 from thornladder.interface import Invocation, Outcome
 from thornladder.node import messages, service, streams
@@ -291,7 +291,7 @@
     def echo(got: Got) -> bytes:
         return reply(200, bytes(size)) if got.target == "/pay" else reply(200)
 
-    async with started(tmp_path, Peer(echo), Peer(echo), info=info) as (process, port):
+    async with running_node(tmp_path, Peer(echo), Peer(echo), info=info) as (process, port):
         path = Path(f"/proc/{process.pid}/status")
 
         def resident() -> int:
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -114,8 +114,11 @@
     first, second = ([account.pushes for account in bench.accounts.values()] for bench in benches)
     assert first == second
     for value in (-1, 1e99, float("nan"), float("inf"), "4", None, True, [], {}):
-        assert settings.report({"rif": value, "odd": 1, "fail_rate": value, "rate": value}) == NO_REPORT
-    assert settings.report({"rif": 3, "q": "x"}) == Report(3.0)
+        assert (
+            settings.parse_load_report({"rif": value, "odd": 1, "fail_rate": value, "rate": value})
+            == NO_REPORT
+        )
+    assert settings.parse_load_report({"rif": 3, "q": "x"}) == Report(3.0)
     for body in (b"", b"x", b"[]", b"{" * 5000, b'{"rif":', b'{"rif":"4"}', b"\xff\xfe"):
         assert messages.decode_report(body) == NO_REPORT
 
@@ -242,8 +245,8 @@
 
     assert asks(SETTINGS) == 0.0
     assert asks({**SETTINGS, "Report": {"Fields": [], "Source": "silent"}, "Tenants": []}) == 0.0
-    assert asks(OWN_NODE) == settings.PROBE_SPENDING / 0.004
-    assert asks({**OWN_NODE, "Prices": {}}) == settings.MOST_ASKS
+    assert asks(OWN_NODE) == settings.MAX_PROBE_COST_SHARE / 0.004
+    assert asks({**OWN_NODE, "Prices": {}}) == settings.MAX_PROBES_PER_INVOCATION
 
 
 @pytest.mark.anyio
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 from harness import READY, Bank, Got, called, config, listed, news, reply, until
-from test_process import RUN
+from test_process import NODE_COMMAND
 
 from thornladder.interface import Entry, ListKind, State
 from thornladder.node.admin.calls import MOST_BODY
@@ -250,7 +250,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config([], 1)))
     environment = {**os.environ, "TMPDIR": str(tmp_path), "EDGE_CONFIG": str(path), **given}
-    ended = await anyio.run_process(RUN, env=environment, check=False)
+    ended = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
     assert ended.returncode == code and ended.stderr.count(b"\n") == 1
     assert words in ended.stderr.decode()
 
@@ -260,5 +260,5 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "admin_addr": f"127.0.0.1:{bank.admin}"}))
         environment = {**os.environ, "TMPDIR": str(tmp_path), "EDGE_CONFIG": str(path)}
-        ended = await anyio.run_process(RUN, env=environment, check=False)
+        ended = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
         assert ended.returncode == 1 and ended.stderr.count(b"\n") == 1
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,11 +15,11 @@
 from harness import READY, SETTINGS, Bank, Client, Got, Peer, config, listed, news, reply, until
 
 pytestmark = pytest.mark.anyio
-RUN = [sys.executable, "-B", "-m", "thornladder"]
+NODE_COMMAND = [sys.executable, "-B", "-m", "thornladder"]
 
 
 @asynccontextmanager
-async def started(folder: Path, *backends: Peer, info: dict | None = None):
+async def running_node(folder: Path, *backends: Peer, info: dict | None = None):
     """A node as a process of its own; yields it and its port."""
     discovery = Peer(lambda got: news(1) if got.target.endswith("=0") else None)
     async with anyio.create_task_group() as tasks:
@@ -29,7 +29,7 @@
         path = folder / "config.json"
         path.write_text(json.dumps(config(lines, discovery.port, info=info)))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
-        process = await anyio.open_process(RUN, env=environment, stderr=subprocess.PIPE)
+        process = await anyio.open_process(NODE_COMMAND, env=environment, stderr=subprocess.PIPE)
         try:
             text = b""
             while b"\n" not in text:
@@ -50,7 +50,7 @@
 
 async def test_a_planned_end_answers_all_that_came(tmp_path: Path) -> None:
     backend = Peer(lambda got: None if got.target == "/look" else reply(200))
-    async with started(tmp_path, backend) as (process, port):
+    async with running_node(tmp_path, backend) as (process, port):
         idle, busy, later = await connect(port), await connect(port), await connect(port)
         assert (await idle.ask("a0", "pay", body=b"x")).target == "200"
         await busy.send("a1", "look", 800)
@@ -86,7 +86,7 @@
             if answer.headers.get("connection") == "close":
                 client = await connect(port)  # comes as long as the front has not noticed
 
-    async with started(tmp_path, *(Peer(lambda _: reply(200)) for _ in range(3))) as (process, port):
+    async with running_node(tmp_path, *(Peer(lambda _: reply(200)) for _ in range(3))) as (process, port):
         async with anyio.create_task_group() as tasks:
             for caller in range(16):
                 tasks.start_soon(play, port, caller)
@@ -112,7 +112,7 @@
             return news(1, listed(0, backend.port), whole=True)
         return news(0) if got.target.endswith("=0") else None
 
-    async with started(tmp_path, backend) as (process, port), anyio.create_task_group() as tasks:
+    async with running_node(tmp_path, backend) as (process, port), anyio.create_task_group() as tasks:
         old = json.loads(path.read_text())
         places = [Peer(elsewhere), Peer(behind)]
         for place in places:
@@ -152,7 +152,7 @@
 def refused(path: Path) -> str:
     """Starts the program on a file that it is to refuse; the one line that it says."""
     environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
-    ended = subprocess.run(RUN, env=environment, capture_output=True, check=False)
+    ended = subprocess.run(NODE_COMMAND, env=environment, capture_output=True, check=False)
     assert ended.returncode == 2 and ended.stderr.count(b"\n") == 1 and not ended.stdout
     return ended.stderr.decode()
 
@@ -170,5 +170,5 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "listen": f"127.0.0.1:{bank.port}"}))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
-        ended = await anyio.run_process(RUN, env=environment, check=False)
+        ended = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
         assert ended.returncode == 1 and ended.stderr.count(b"\n") == 1
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 from harness import OFFERINGS, SETTINGS, Bench, Got, Peer, config, entry, reply
-from test_process import connect, started
+from test_process import connect, running_node
 
 from thornladder import settings
 from thornladder.fields import MalformedError
@@ -74,7 +74,7 @@
 async def test_a_file_that_is_not_whole_is_turned_down_whole(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     backend = Peer(lambda _: reply(200))
-    async with started(tmp_path, backend) as (process, port):
+    async with running_node(tmp_path, backend) as (process, port):
         lines, good = Lines(process), path.read_text()
         files = [("", "not JSON"), (good[:-9], "not JSON"), ("[]", "object")]
         for (where, value), name in BAD.values():
@@ -99,7 +99,7 @@
     def answer(got: Got) -> bytes | None:
         return reply(200) if quick else None
 
-    async with started(tmp_path, Peer(answer)) as (process, port):
+    async with running_node(tmp_path, Peer(answer)) as (process, port):
         lines = Lines(process)
         busy, gone = await connect(port), await connect(port)
         await busy.send("a0", "look", 600)
@@ -129,7 +129,7 @@
 
 def test_what_is_in_hand_keeps_its_kind_and_what_comes_has_the_new_one() -> None:
     bench = Bench(copies=False)
-    told = settings.decisions(SETTINGS)
+    told = settings.policy_arguments(SETTINGS)
     bench.list([entry(number) for number in range(4)])
     before = bench.come("a", "look")
     stricter = [dataclasses.replace(OFFERINGS[0], kind=Kind.ONCE_ONLY), *OFFERINGS[2:]]
@@ -152,10 +152,10 @@
     held = config([], 1)
     new = copy.deepcopy(held)
     del new["settings"]["PolicyLimits"]["SecondCopies"]
-    assert settings.lacking(held, new) is None
+    assert settings.first_missing_key(held, new) is None
     del new["settings"]["Classes"][2]  # a class may vanish
-    assert settings.lacking(held, new) is None
+    assert settings.first_missing_key(held, new) is None
     del new["settings"]["Classes"][1]["Worth"]
-    assert settings.lacking(held, new) == "settings.Classes.pay.Worth"
+    assert settings.first_missing_key(held, new) == "settings.Classes.pay.Worth"
     with pytest.raises(MalformedError):
         settings.decode(new)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
     reply,
     until,
 )
-from test_process import RUN
+from test_process import NODE_COMMAND
 
 from thornladder import decide, settings
 from thornladder.interface import ListKind, State
@@ -72,7 +72,7 @@
         path = self.folder / "config.json"
         path.write_text(json.dumps({**file, "listen": f"127.0.0.1:{self.port}"}))
         process = await anyio.open_process(
-            RUN,
+            NODE_COMMAND,
             env={
                 **os.environ,
                 "TMPDIR": str(self.folder),
@@ -284,7 +284,7 @@
     for room in (0.0, 4.5, 99.0):
         bench = Bench()
         bench.node = decide.Node(
-            bench, seed=1, now=bench.now, room=room, **{**settings.decisions(SETTINGS), "nodes": 2}
+            bench, seed=1, now=bench.now, room=room, **{**settings.policy_arguments(SETTINGS), "nodes": 2}
         )
         bench.list([entry(number) for number in range(8)])
         rooms[room] = bench.node.admission.room
--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -19,7 +19,7 @@
 from thornladder.node.messages import NO_LIST, decode_list
 
 
-def log_as_json() -> None:
+def configure_json_logging() -> None:
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -47,7 +47,7 @@
     except MalformedError as error:
         print(f"thornladder: {path}: {error}", file=sys.stderr)
         return 2
-    log_as_json()
+    configure_json_logging()
     # What stands now stands to the end: no collection goes through it again.
     gc.freeze()
     try:
--- a/thornladder/adapter/__main__.py
+++ b/thornladder/adapter/__main__.py
@@ -78,7 +78,7 @@
         broken = f'{{"kind":"BROKEN","I":{json.dumps(name)},"Words":'
         if kind == "CREATE":
             seed = get_field(message, "Nonce64", int)
-            given = settings.decisions(get_field(message, "Info", dict))
+            given = settings.policy_arguments(get_field(message, "Info", dict))
             try:
                 host = InstanceHost(name, self.reply)
                 self.nodes[name] = decide.Node(host, seed=seed, now=self.now, **given)
@@ -114,7 +114,7 @@
             get_choice(wire.OUTCOMES, message, "Reason"),
             get_seconds(message, "TimeTaken", 0.0),
             bool(message.get("Last")),
-            settings.report(message.get("Report")),
+            settings.parse_load_report(message.get("Report")),
         )
 
     def _bell(self, node: decide.Node, message: Message) -> None:
@@ -128,7 +128,7 @@
 
     def _echo(self, node: decide.Node, message: Message) -> None:
         outcome = get_choice(wire.OUTCOMES, message, "Reason")
-        report = settings.report(message.get("Report"))
+        report = settings.parse_load_report(message.get("Report"))
         node.on_probe_ended(self.now, get_field(message, "Backend", str), outcome, report)
 
     def _head_received(self, node: decide.Node, message: Message) -> None:
--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -86,14 +86,14 @@
     import anyio
     import structlog
 
-    from thornladder.__main__ import log_as_json
+    from thornladder.__main__ import configure_json_logging
     from thornladder.rollout import keeper
 
     try:
         config = keeper.load(file)
     except MalformedError as error:
         refuse(f"{file}: {error}")
-    log_as_json()
+    configure_json_logging()
     try:
         anyio.run(keeper.Keeper(config, structlog.get_logger()).run, backend_options={"use_uvloop": True})
     except OSError as error:
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -13,7 +13,7 @@
 from thornladder import interface as api
 from thornladder.fields import MalformedError, get_choice, get_field, get_objects, get_optional, parse_object
 from thornladder.node.flow import Flow
-from thornladder.settings import Address, address, report
+from thornladder.settings import Address, parse_address, parse_load_report
 
 MOST_WHOLE = 64 * 1024  # bytes: bodies up to here are kept whole, larger ones flow through
 MOST_BODY = 33 * 1024 * 1024  # bytes: 32 MB, and what anybody may mean by that
@@ -241,7 +241,7 @@
 def decode_report(body: bytes) -> api.Report:
     """The load report in a probe's answer; what cannot be read tells nothing and ends nothing."""
     try:
-        return report(parse_object(body) if len(body) <= MOST_REPORT else None)
+        return parse_load_report(parse_object(body) if len(body) <= MOST_REPORT else None)
     except MalformedError:
         return api.NO_REPORT
 
@@ -285,5 +285,5 @@
         )
         answer.entries.append(entry)
         if entry.state is not api.State.GONE:
-            answer.addresses[id] = address(get_field(line, "hostPort", str))
+            answer.addresses[id] = parse_address(get_field(line, "hostPort", str))
     return answer
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -57,7 +57,7 @@
         handover = Handover(config, log)
         host = NodeHost(clock, tasks, log, handover.begin(clock()))
         transport = config.transport
-        pool = Pool(sockets - clients, transport.idle_close, transport.connect_time_out, clock)
+        pool = Pool(sockets - clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
         held = Held(max(config.memory // LARGE_BODIES, 2**20))
         reports = config.decisions["limits"].asks > 0.0
         pushes = Pushes(
@@ -232,7 +232,7 @@
     def __call__(self) -> None:
         try:
             config = settings.load(self.path)
-            if name := settings.lacking(self.config.raw, config.raw):
+            if name := settings.first_missing_key(self.config.raw, config.raw):
                 raise MalformedError(f"{name} is missing")
         except MalformedError as error:
             self.log.warning("the new configuration is bad, the old one stays", error=str(error))
@@ -253,7 +253,7 @@
         handover.retune(config.decisions, host)
         desk.retune(host.node.offerings)
         pushes.grace, pushes.soft = config.transport.drain_grace, config.transport.soft_removal
-        pushes.pool.retune(config.transport.idle_close, config.transport.connect_time_out)
+        pushes.pool.retune(config.transport.backend_idle_timeout, config.transport.connect_timeout)
         self.log.info("settings taken", offerings=sorted(host.node.offerings))
 
 
--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -16,15 +16,17 @@
 BLEND = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "Availability", "Tail")
 # Whether load reports come with probes alone, and are to be asked for.
 REPORT_SOURCES = {"pull": True, "piggyback": False, "silent": False}
-PROBE_SPENDING = 0.008  # of the result: what probes for reports may cost in all, where each has a price
+MAX_PROBE_COST_SHARE = 0.008  # of the result: what probes for reports may cost in all, where each has a price
 MOST_REPORTED = 1e6  # of anything that a load report counts: more is no figure of one backend
-MOST_ASKS = 3.0  # probes an invocation, however cheap: beyond a choice among three little is gained
+MAX_PROBES_PER_INVOCATION = (
+    3.0  # probes an invocation, however cheap: beyond a choice among three little is gained
+)
 
 Address = tuple[str, int]
 NOTHING: Mapping[str, str] = {}
 
 
-def decisions(info: dict[str, Any]) -> dict[str, Any]:
+def policy_arguments(info: dict[str, Any]) -> dict[str, Any]:
     """The keyword arguments of `decide.Node` that come from the settings."""
     limits = get_field(info, "PolicyLimits", dict)
     rules = get_field(info, "Rules", dict)
@@ -81,7 +83,11 @@
         raise MalformedError("Prices.Probe must not be negative")
     if not reports_by_probes(info) or not get_field(limits, "Probes", bool, False):
         return 0.0
-    return min(PROBE_SPENDING / price, MOST_ASKS) if price > 0.0 else MOST_ASKS
+    return (
+        min(MAX_PROBE_COST_SHARE / price, MAX_PROBES_PER_INVOCATION)
+        if price > 0.0
+        else MAX_PROBES_PER_INVOCATION
+    )
 
 
 MOST_FEW, MOST_RATIO, LONGEST_SPAN = 1e6, 100.0, 3600.0  # beyond these a budget bounds nothing
@@ -101,7 +107,7 @@
     return api.FurtherRule(few, share, span)
 
 
-def report(told: Any) -> api.Report:
+def parse_load_report(told: Any) -> api.Report:
     """A load report, decoded; what is missing, unknown or makes no sense is left out and ends nothing."""
     if not isinstance(told, dict):
         return api.NO_REPORT
@@ -155,7 +161,7 @@
     return value
 
 
-def lacking(held: Any, new: Any, path: str = "") -> str | None:
+def first_missing_key(held: Any, new: Any, path: str = "") -> str | None:
     """The first key of the file in force that the new one lacks; marks may be left out where they are false.
 
     Guards against a file cut short, or put together wrongly, whose gaps would be filled with defaults.
@@ -166,13 +172,15 @@
                 if value is None or isinstance(value, bool):
                     continue
                 return f"{path}{name}"
-            if found := lacking(value, new[name], f"{path}{name}."):
+            if found := first_missing_key(value, new[name], f"{path}{name}."):
                 return found
     if isinstance(held, list) and isinstance(new, list):
         known = {line.get("Name"): line for line in held if isinstance(line, dict)}
         for line in new:
             name = line.get("Name") if isinstance(line, dict) else None
-            if isinstance(name, str) and (found := lacking(known.get(name), line, f"{path}{name}.")):
+            if isinstance(name, str) and (
+                found := first_missing_key(known.get(name), line, f"{path}{name}.")
+            ):
                 return found
     return None
 
@@ -202,8 +210,8 @@
 class Transport:
     """What the settings say of connections."""
 
-    connect_time_out: float
-    idle_close: float  # after this a backend has closed an idle connection at the latest
+    connect_timeout: float
+    backend_idle_timeout: float  # after this a backend has closed an idle connection at the latest
     drain_grace: float
     soft_removal: bool  # only a listed drain binds
 
@@ -249,17 +257,17 @@
         raise MalformedError("seed must be hex digits") from None
     return Config(
         name=get_field(message, "name", str, ""),
-        listen=address(get_field(message, "listen", str)),
-        discovery=address(get_field(message, "discovery", str)),
+        listen=parse_address(get_field(message, "listen", str)),
+        discovery=parse_address(get_field(message, "discovery", str)),
         seed=seed,
         cores=get_field(given, "cores", float, 1.0),
         sockets=get_field(given, "sockets", int, 1024),
         memory=int(get_field(given, "memory_mb", float, 192.0) * 2**20),
         known=get_field(message, "known", dict, {}),
-        decisions=decisions(info),
+        decisions=policy_arguments(info),
         transport=Transport(
-            connect_time_out=get_seconds(limits, "ConnectTimeout", 0.25),
-            idle_close=get_seconds(limits, "IdleClose", 15.0),
+            connect_timeout=get_seconds(limits, "ConnectTimeout", 0.25),
+            backend_idle_timeout=get_seconds(limits, "IdleClose", 15.0),
             drain_grace=get_seconds(rules, "DrainGrace", 1.0),
             soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
@@ -273,7 +281,7 @@
 
 def _admin(text: str) -> Address | None:
     try:
-        return address(text) if text else None
+        return parse_address(text) if text else None
     except MalformedError as error:
         raise MalformedError(f"admin_addr: {error}") from None
 
@@ -284,7 +292,7 @@
     return int(text) if text else None
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not (colon and host and port.isdecimal() and 0 <= int(port) < 65536):
         raise MalformedError(f"{text!r} is not an address and port")
