--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,9 +13,9 @@
 import anyio
 import pytest
 from harness import Peer, reply
-from test_process import started
+from test_process import running_node
 
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.membership.companion import Seat
 from thornladder.membership.config import load as load_fleet
 from thornladder.membership.core import Core
@@ -82,7 +82,7 @@
 def test_a_bad_fleet_file_is_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text(text)
-    with pytest.raises(Malformed) as error:
+    with pytest.raises(MalformedError) as error:
         load_fleet(str(path))
     assert "\n" not in str(error.value)
 
@@ -111,7 +111,7 @@
              "'thornladder.rig', 'thornladder.cli', 'thornladder.measures'))])")  # fmt: skip
     ended = subprocess.run([sys.executable, "-c", words], capture_output=True, text=True, check=True)
     assert ended.stdout == "[]\n"
-    async with started(tmp_path, Peer(lambda _: reply(200))) as (process, port):
+    async with running_node(tmp_path, Peer(lambda _: reply(200))) as (process, port):
         await anyio.sleep(0.3)
         kinds = [os.readlink(entry.path) for entry in os.scandir(f"/proc/{process.pid}/fd")]
         sockets = {kind[8:-1] for kind in kinds if kind.startswith("socket:")}
