--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -194,7 +194,7 @@
                 if broken == "dup":
                     patch.setattr(streams.os, "dup", fails)
                 else:
-                    patch.setattr(streams, "raw", fails)
+                    patch.setattr(streams, "raw_socket", fails)
                 return left(connection)
 
         monkeypatch.setattr(ClientConnection, "_left", looked)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -93,7 +93,7 @@
         await BETWEEN[name](peer)
         line: list[Any] = []
         await until(lambda: line or _idle(bank, line))
-        await until(lambda: not line[0].stream or streams.readable(line[0].stream))
+        await until(lambda: not line[0].stream or streams.has_unread_data(line[0].stream))
         answer = await client.ask("a1", path, body=b"x")
         assert (answer.target, answer.body) == ("200", b"a1 done")
         assert peer.opened == 2
@@ -178,7 +178,7 @@
     seen: dict[str, set[int]] = {"client": set(), "backend": set()}
 
     def noted(side: str, stream: Any) -> None:
-        raw = streams.raw(stream)
+        raw = streams.raw_socket(stream)
         seen[side].add(raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
     get, answer = Pool.get, ClientConnection._deliver
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -33,8 +33,8 @@
 from thornladder.interface import Invocation, Outcome
 from thornladder.node import messages, service, streams
 from thornladder.node.clients.connection import ClientConnection
-from thornladder.node.flow import COST
-from thornladder.node.streams import Held
+from thornladder.node.flow import BODY_PIPE_BYTES
+from thornladder.node.streams import BodyBudget
 
 pytestmark = pytest.mark.anyio
 BODY = random.Random(5).randbytes(400_000)
@@ -51,7 +51,7 @@
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
 
 
-class Watched(Held):
+class Watched(BodyBudget):
     """Keeps the most that was ever held."""
 
     last: Watched
@@ -60,9 +60,9 @@
         super().__init__(most)
         self.top, Watched.last = 0, self
 
-    async def take(self, size: int, holder: object) -> None:
-        await super().take(size, holder)
-        self.top = max(self.top, self.bytes)
+    async def acquire(self, size: int, holder: object) -> None:
+        await super().acquire(size, holder)
+        self.top = max(self.top, self.used)
 
 
 @pytest.mark.parametrize("answer", [large, chunked])
@@ -86,12 +86,12 @@
 
 @pytest.mark.parametrize("answer", [large, chunked])
 async def test_slow_readers_hold_no_more_than_their_part_of_the_memory(monkeypatch, answer) -> None:
-    monkeypatch.setattr(service, "Held", Watched)
+    monkeypatch.setattr(service, "BodyBudget", Watched)
     async with Bank(*[answer] * 8, memory=4) as bank:
         slow = [await narrow(bank) for _ in range(8)]
         for number, client in enumerate(slow):
             await client.send(f"a{number}", "pay", 900, b"x")  # of most utility: there is room for eight
-        await until(lambda: Watched.last.bytes >= 4 * COST)
+        await until(lambda: Watched.last.used >= 4 * BODY_PIPE_BYTES)
         answers = []
 
         async def read(client) -> None:
@@ -103,20 +103,20 @@
                 tasks.start_soon(read, client)
         assert [got.target for got in answers] == ["200"] * 8
         assert all(len(got.body) == len(BODY) + 2 for got in answers)
-        assert Watched.last.top <= Watched.last.most + COST  # one at a time goes past it
-        await until(lambda: Watched.last.bytes == 0)
+        assert Watched.last.top <= Watched.last.limit + BODY_PIPE_BYTES  # one at a time goes past it
+        await until(lambda: Watched.last.used == 0)
 
 
 async def test_a_client_that_leaves_amid_a_large_answer_ends_it_at_its_backend(monkeypatch) -> None:
-    monkeypatch.setattr(service, "Held", Watched)
+    monkeypatch.setattr(service, "BodyBudget", Watched)
     monkeypatch.setitem(globals(), "BODY", bytes(20_000_000))
     async with Bank(large) as bank:
         for number in range(3):
             client = await narrow(bank)
             await client.send(f"a{number}", "look")
-            await until(lambda: Watched.last.bytes == COST)
+            await until(lambda: Watched.last.used == BODY_PIPE_BYTES)
             await client.stream.aclose()
-            await until(lambda: Watched.last.bytes == 0)
+            await until(lambda: Watched.last.used == 0)
         monkeypatch.setitem(globals(), "BODY", b"")
         assert (await bank.ask("b", "look")).target == "200"
 
@@ -327,19 +327,19 @@
 
 async def test_a_stream_holds_one_read_whoever_sends_how_fast(monkeypatch: pytest.MonkeyPatch) -> None:
     """Fails where the library reads on into its queue, by 4 MB for each of 24 bodies on a busy machine."""
-    top, reading, hand_on = [0], [], streams.OneByOne.data_received
+    top, reading, hand_on = [0], [], streams.SingleReadProtocol.data_received
 
-    def watched(self: streams.OneByOne, data: bytes) -> None:
+    def watched(self: streams.SingleReadProtocol, data: bytes) -> None:
         hand_on(self, data)
         top[0] = max(top[0], sum(map(len, self.inner.read_queue)))
         reading.append(self.transport.is_reading())
 
-    monkeypatch.setattr(streams.OneByOne, "data_received", watched)
+    monkeypatch.setattr(streams.SingleReadProtocol, "data_received", watched)
     async with Bank(large) as bank:
         client = await bank.client()
         await client.stream.send(head("a", "Content-Length: 400000") + BODY)
         assert (await client.answer_to("a")).target == "200"
-    assert 0 < top[0] <= streams.READ and not any(reading)
+    assert 0 < top[0] <= streams.MAX_READ_BYTES and not any(reading)
 
 
 # The module.
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -16,7 +16,7 @@
 from thornladder.node.clients.early import EarlyShedder
 from thornladder.node.clients.front import Front
 from thornladder.node.host import Lag, NodeHost
-from thornladder.node.streams import unread_for
+from thornladder.node.streams import seconds_since_last_data
 
 WHOLE = b"GET /look HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\nX-Budget-Ms: 400\r\n\r\n"
 POST = b"POST /pay?key=1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: b\r\nContent-Length: 3\r\n\r\nabc"
@@ -114,7 +114,7 @@
         kept = await bank.client()
         assert (await kept.ask("a0", "look")).target == "200" and not told
         monkeypatch.setattr(Lag, "late", True)
-        monkeypatch.setattr("thornladder.node.streams.unread_for", lambda _: 0.03)
+        monkeypatch.setattr("thornladder.node.streams.seconds_since_last_data", lambda _: 0.03)
         for number in range(3):
             got = await kept.ask(f"a{number + 1}", "pay", 500, b"x")
             assert (got.target, got.headers["retry-after"]) == ("503", "0.200")
@@ -159,8 +159,8 @@
     with client, taken:
         client.sendall(b"x")
         anyio.run(anyio.sleep, 0.08)
-        assert 0.05 <= unread_for(taken) < 2.0
-    assert unread_for(taken) == 0.0  # closed: nothing is told
+        assert 0.05 <= seconds_since_last_data(taken) < 2.0
+    assert seconds_since_last_data(taken) == 0.0  # closed: nothing is told
 
 
 @pytest.mark.anyio
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -46,7 +46,7 @@
         (messages, ("decode_invocation", "encode_answer", "encode_push", "outcome_of", "completed"), 5),
         (messages, ("decode_list", "encode_watch"), 2),
         (h11.Connection, ("next_event", "send", "receive_data"), 23),
-        (streams, ("write_now", "unread_for"), 9),
+        (streams, ("try_write", "seconds_since_last_data"), 9),
         (SocketStream, ("receive", "aclose", "send_eof", "extra"), 9),
     )
     for name in names
@@ -169,7 +169,7 @@
 
     plant = Plant(every, node_only if owner in (h11.Connection, SocketStream) else lambda: True)
     monkeypatch.setattr(owner, name, plant.into(getattr(owner, name)))
-    if name == "unread_for":
+    if name == "seconds_since_last_data":
         monkeypatch.setattr(Lag, "late", True)  # it is asked only then
     bank = Rough(answer, answer, answer, sockets=60, tells=tells)
     async with bank:
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -14,7 +14,7 @@
 from thornladder.node.exchange import Exchange
 from thornladder.node.http1 import Cause, Failure, Line, Stage
 from thornladder.node.messages import Answer, Ending, ListAnswer, Message, Reply
-from thornladder.node.streams import Held
+from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
 
@@ -67,7 +67,7 @@
         pool: Pool,
         drain_grace: float,
         soft_removal: bool,
-        held: Held,
+        held: BodyBudget,
         tasks: Tasks,
         told: Told,
         clock: Callable[[], float],
@@ -132,11 +132,11 @@
             """A large answer is its client's from its first bytes on: there the push has ended."""
             nonlocal begun
             begun, scope.deadline = True, math.inf
-            assert reply.flow is not None
-            reply.flow.given_by = scope
+            assert reply.body_pipe is not None
+            reply.body_pipe.producer_scope = scope
             self.told.push_ended(exchange, number, Outcome.COMPLETED, sent, messages.completed(reply))
-            if exchange.answer is None or exchange.answer.flow is not reply.flow:
-                reply.flow.drop()  # nobody waits for it
+            if exchange.answer is None or exchange.answer.body_pipe is not reply.body_pipe:
+                reply.body_pipe.abort()  # nobody waits for it
 
         try:
             left = exchange.given if exchange.coming else time_out
--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -14,9 +14,9 @@
 from thornladder.node import messages, streams
 from thornladder.node.clients.early import EarlyShedder, ShedPolicy
 from thornladder.node.exchange import Exchange
-from thornladder.node.flow import COST, Flow, narrow
+from thornladder.node.flow import BODY_PIPE_BYTES, BodyPipe, limit_kernel_buffers
 from thornladder.node.messages import MOST_BODY, MOST_WHOLE, Answer, BadInput
-from thornladder.node.streams import BROKEN, Held, readable
+from thornladder.node.streams import STREAM_CLOSED_ERRORS, BodyBudget, has_unread_data
 
 
 class InvocationHandler(Protocol):
@@ -39,7 +39,7 @@
         handler: InvocationHandler,
         offerings: Mapping[str, Offering],
         clock: Callable[[], float],
-        held: Held,
+        held: BodyBudget,
         late: Callable[[], bool],
         shed_policy: ShedPolicy,
         log: Any,
@@ -91,13 +91,13 @@
         self.http = h11.Connection(h11.SERVER)
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self.upload: Flow | None = None  # of the invocation that is coming, where that is large
+        self.upload: BodyPipe | None = None  # of the invocation that is coming, where that is large
         self.discarding = False  # what is still to come of it, after its answer
         self.coming: list[bytes] = []  # parts of it that were read and not given yet
         self.got = 0  # bytes of its body
         self.waits, self.asked_at = 0.0, 0.0  # seconds that this node waited for it; since when it does
-        self.download: Flow | None = None  # of the answer that is going out, where that is large
-        self.counted: Flow | None = None  # the upload that counts among what flows
+        self.download: BodyPipe | None = None  # of the answer that is going out, where that is large
+        self.counted: BodyPipe | None = None  # the upload that counts among what flows
         self.passing = anyio.Lock()
         self.upload_over = False  # its last byte has come
         self.taking = True  # whether the client is awaited, and not the answer's next part
@@ -141,12 +141,12 @@
             if self.exchange is not None:
                 self.server_state.handler.client_disconnected(self.exchange)
             if self.download is not None:
-                self.download.drop()
+                self.download.abort()
             await streams.close(self.stream)
 
     def close_idle(self) -> None:
         """Ends an idle connection; what the client has under way it sends again on another."""
-        if self.idle and not readable(self.stream):
+        if self.idle and not has_unread_data(self.stream):
             self.ending = True
             self.wake.set()
 
@@ -157,7 +157,7 @@
         had its turn.
         """
         self.ending = False
-        if not self.idle or self.closing or readable(self.stream):
+        if not self.idle or self.closing or has_unread_data(self.stream):
             return
         self.closing = True
         if not (self.spoken and self.server_state.clock() - self.since < self.LINGER):
@@ -195,13 +195,13 @@
             try:
                 self.asked_at = self.server_state.clock()
                 data = self.first or await self.stream.receive()
-            except BROKEN:
+            except STREAM_CLOSED_ERRORS:
                 return
             finally:
                 self.waits, self.asked_at = self.waits + self.server_state.clock() - self.asked_at, 0.0
             asked, self.first = bool(self.first), b""  # the first was asked about when accepted
             if not asked and self.server_state.late():
-                self.waited = streams.unread_for(streams.raw(self.stream))
+                self.waited = streams.seconds_since_last_data(streams.raw_socket(self.stream))
             if self.closing:
                 discarded += len(data)
                 if discarded > self.DISCARDED:
@@ -233,7 +233,7 @@
         async with self.passing:
             if self.upload is not None and self.counted is None:
                 flow = self.upload
-                await self.server_state.held.take(COST, flow)
+                await self.server_state.held.acquire(BODY_PIPE_BYTES, flow)
                 self.counted = flow
                 if self.upload is not flow:
                     self._give_back()
@@ -242,7 +242,7 @@
                 if self.upload is None:
                     continue
                 with anyio.move_on_after(self.UNTAKEN) as waiting:
-                    await self.upload.give(part)
+                    await self.upload.send(part)
                 if waiting.cancelled_caught and self.exchange is not None:
                     # Guards against a client that waits for ever on a backend that takes nothing.
                     self.server_state.handler.body_stalled(self.exchange)
@@ -253,14 +253,14 @@
 
     def _end_upload(self, whole: bool) -> None:
         if self.upload is not None:
-            self.upload.end(whole)
+            self.upload.finish(whole)
             self.upload = None
             self.coming.clear()
             self._give_back()
 
     def _give_back(self) -> None:
         if self.counted is not None:
-            self.server_state.held.give_back(COST, self.counted)
+            self.server_state.held.release(BODY_PIPE_BYTES, self.counted)
             self.counted = None
 
     def _give_up_upload(self, status: int, words: str) -> None:
@@ -292,18 +292,18 @@
             # Guards against a reset that overtakes the answer: close after the client, or after a while.
             await self.stream.send_eof()
             await anyio.sleep(self.LINGER)
-        except BROKEN:
+        except STREAM_CLOSED_ERRORS:
             pass
         self.scope.cancel()
 
-    async def _pass_out(self, flow: Flow) -> None:
+    async def _pass_out(self, flow: BodyPipe) -> None:
         """Passes a large answer on as it comes; one that breaks off ends the connection: its client sees."""
         async for part in flow.parts():
             data = self.http.send(h11.Data(data=part)) or b""
             self.since, self.taking = self.server_state.clock(), True
             await self.stream.send(data)
             self.since, self.taking = self.server_state.clock(), False
-        if not flow.whole:
+        if not flow.complete:
             self.scope.cancel()
             return
         await self.stream.send(self.http.send(h11.EndOfMessage()) or b"")
@@ -377,12 +377,12 @@
         """It is large: it is decided at what has come of it, and the rest is passed on as it comes."""
         request, self.spoken = self.request, True
         assert request is not None
-        flow = Flow()
+        flow = BodyPipe()
         decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings, flow)
         if isinstance(decoded, BadInput):
             self._turn_down(decoded.status, decoded.words)
             return
-        narrow(self.stream)
+        limit_kernel_buffers(self.stream)
         self.upload, self.upload_over = flow, False
         self.body.clear()
         self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
@@ -422,12 +422,12 @@
 
     def _left(self) -> bool:
         """Whether the client has closed, reset or half closed its connection."""
-        return streams.left(self.stream)
+        return streams.peer_closed(self.stream)
 
     def _deliver(self, answer: Answer) -> None:
         self.exchange = None
         try:
-            self._answer(*messages.encode_answer(answer, self.server_state.closing), answer.flow)
+            self._answer(*messages.encode_answer(answer, self.server_state.closing), answer.body_pipe)
         except Exception:
             # Guards against an answer that cannot be put into words: it still has to be one, and the last.
             self.server_state.log.exception("an answer could not be put into words")
@@ -437,14 +437,14 @@
             except Exception:
                 self.scope.cancel()  # the client sees an end, if no answer
 
-    def _answer(self, response: h11.Response, body: bytes, flow: Flow | None = None) -> None:
+    def _answer(self, response: h11.Response, body: bytes, flow: BodyPipe | None = None) -> None:
         """Encodes an answer for the writing task; the connection is ready for the next invocation."""
         head_only = self.request is not None and self.request.method == b"HEAD"
         self.request = None
         self.body.clear()
         if self.upload is not None:
             # Guards against an end that overtakes the answer while its client still sends: the rest is read.
-            self.upload.drop()
+            self.upload.abort()
             asked_for = not self.http.they_are_waiting_for_100_continue
             self.discarding = not self.upload_over and not self.closing and asked_for
             self._end_upload(False)
@@ -453,7 +453,7 @@
             data += self.http.send(h11.Data(data=body)) or b""
         if flow is not None:
             self.download = flow
-            narrow(self.stream)
+            limit_kernel_buffers(self.stream)
             self.outbox.append(data)
             self.wake.set()
             return
@@ -464,7 +464,7 @@
 
     def _put(self, data: bytes) -> None:
         """Sends it: small ones at once, others and those behind them by the writing task."""
-        if not self.outbox and len(data) <= MOST_WHOLE and streams.write_now(self.stream, data):
+        if not self.outbox and len(data) <= MOST_WHOLE and streams.try_write(self.stream, data):
             self.since = self.server_state.clock()
         elif data:
             self.outbox.append(data)
--- a/thornladder/node/clients/front.py
+++ b/thornladder/node/clients/front.py
@@ -100,7 +100,7 @@
                 raw.close()
                 continue
             late = bool(first) and self.server_state.late()
-            waited = streams.unread_for(raw) if late else 0.0
+            waited = streams.seconds_since_last_data(raw) if late else 0.0
             if late and (nack := self.server_state.early_shedder.nack(first, waited, True)):
                 with suppress(OSError):
                     raw.send(nack)  # a kernel takes it whole on a connection with nothing under way
@@ -127,7 +127,7 @@
 
     async def _serve(self, raw: socket.socket, first: bytes, waited: float) -> None:
         try:
-            stream = streams.one_by_one(await SocketStream.from_socket(raw))
+            stream = streams.limit_reads(await SocketStream.from_socket(raw))
             connection = ClientConnection(stream, self.server_state, first, waited)
             self.connections.add(connection)
             try:
--- a/thornladder/node/exchange.py
+++ b/thornladder/node/exchange.py
@@ -33,7 +33,7 @@
         self.scopes: list[anyio.CancelScope] = []  # of the pushes, by number
         self.waited = waited  # seconds that it lay unread
         self.given = invocation.time_left  # seconds, from its last byte on
-        self.coming = message.flow is not None  # its body is still on its way
+        self.coming = message.body_pipe is not None  # its body is still on its way
         self.out = 0  # pushes that have not ended
         self._deliver, self._left = deliver, left
 
--- a/thornladder/node/http1.py
+++ b/thornladder/node/http1.py
@@ -12,9 +12,9 @@
 from anyio.abc import SocketStream
 
 from thornladder.node import streams
-from thornladder.node.flow import COST, Flow, narrow
+from thornladder.node.flow import BODY_PIPE_BYTES, BodyPipe, limit_kernel_buffers
 from thornladder.node.messages import MOST_WHOLE, Message, Reply
-from thornladder.node.streams import BROKEN, Held, readable
+from thornladder.node.streams import STREAM_CLOSED_ERRORS, BodyBudget, has_unread_data
 from thornladder.settings import Address
 
 
@@ -50,7 +50,7 @@
     """One answer as it comes: kept whole while it is small, passed on as it comes once it is large."""
 
     def __init__(
-        self, head_only: bool, most: int, begin: Callable[[Reply], None] | None, held: Held | None
+        self, head_only: bool, most: int, begin: Callable[[Reply], None] | None, held: BodyBudget | None
     ) -> None:
         self.head_only, self.most, self.begin, self.held = head_only, most, begin, held
         self.head: h11.Response | None = None
@@ -58,7 +58,7 @@
         self.parts: list[bytes] = []
         self.size = 0
         self.counted = False
-        self.flow: Flow | None = None
+        self.flow: BodyPipe | None = None
         self.whole = False
         self.began = 0.0
 
@@ -93,7 +93,7 @@
 
     async def take(self, data: bytes, line: Line) -> bool:
         if self.flow is not None:
-            return await self.flow.give(data)
+            return await self.flow.send(data)
         if self.good or self.size <= MOST_WHOLE:  # of what is no answer to pass on the beginning will do
             self.parts.append(data)
         if self.large:
@@ -103,11 +103,11 @@
     async def flows(self, line: Line) -> None:
         """From here on it is its client's."""
         if self.held is not None:
-            await self.held.take(COST, line)
+            await self.held.acquire(BODY_PIPE_BYTES, line)
             self.counted = True
-        narrow(line.stream)
+        limit_kernel_buffers(line.stream)
         assert self.head is not None and self.begin is not None
-        self.flow = Flow()
+        self.flow = BodyPipe()
         self.begin(Reply(200, list(self.head.headers), b"".join(self.parts), self.flow, self.length))
         self.parts.clear()
 
@@ -118,9 +118,9 @@
 
     def over(self, line: Line) -> None:
         if self.flow is not None:
-            self.flow.end(self.whole)
+            self.flow.finish(self.whole)
         if self.counted and self.held is not None:
-            self.held.give_back(COST, line)
+            self.held.release(BODY_PIPE_BYTES, line)
 
 
 class Line:
@@ -145,11 +145,11 @@
 
         Only for an idle connection: nothing is read from it then, so that nothing else closes it.
         """
-        return readable(self.stream)
+        return has_unread_data(self.stream)
 
     async def ask(
         self, request: h11.Request, message: Message | None = None, most: int = MOST_WHOLE,
-        begin: Callable[[Reply], None] | None = None, held: Held | None = None,
+        begin: Callable[[Reply], None] | None = None, held: BodyBudget | None = None,
     ) -> Reply | Failure:  # fmt: skip
         """Sends once and waits for the answer, of `most` bytes; whoever cancels this closes the connection.
 
@@ -161,8 +161,8 @@
         self.answer = Incoming(request.method == b"HEAD", most, begin, held)
         body = message.body if message is not None else b""
         try:
-            if message is not None and message.flow is not None:
-                return await self._ask_flowing(request, message, message.flow)
+            if message is not None and message.body_pipe is not None:
+                return await self._ask_flowing(request, message, message.body_pipe)
             data = self.http.send(request) or b""
             if body:
                 data += self.http.send(h11.Data(data=body)) or b""
@@ -172,27 +172,27 @@
                 # until the last byte is handed over it surely never ran, from then on it may have.
                 await self.stream.send(data[:-1])
                 data, self.stage = data[-1:], Stage.SENT
-            if self.stage is Stage.SENT or not streams.write_now(self.stream, data):
+            if self.stage is Stage.SENT or not streams.try_write(self.stream, data):
                 await self.stream.send(data)
             self.stage = Stage.SENT
             return await self._answer()
-        except BROKEN:
+        except STREAM_CLOSED_ERRORS:
             return self._broken()
         except h11.LocalProtocolError:
             return Failure(self.stage, Cause.TOO_LATE)  # not to be put into words: nothing was written
         finally:
             self.answer.over(self)
 
-    async def _ask_flowing(self, request: h11.Request, message: Message, flow: Flow) -> Reply | Failure:
+    async def _ask_flowing(self, request: h11.Request, message: Message, flow: BodyPipe) -> Reply | Failure:
         """Passes a body on while it comes, and hears an answer that comes before its end."""
-        narrow(self.stream)
+        limit_kernel_buffers(self.stream)
         async with anyio.create_task_group() as group:
             group.start_soon(self._pass_on, request, message, flow)
             result = await self._answer()
             group.cancel_scope.cancel()
         return result
 
-    async def _pass_on(self, request: h11.Request, message: Message, flow: Flow) -> None:
+    async def _pass_on(self, request: h11.Request, message: Message, flow: BodyPipe) -> None:
         """It surely never ran as long as its last byte, or the end of its chunks, is held back."""
         try:
             await self.stream.send((self.http.send(request) or b"") + self._part(message.body))
@@ -205,12 +205,12 @@
                         await self.stream.send(data[:-1])
                         data, self.stage = data[-1:], Stage.SENT
                 await self.stream.send(data)
-            if flow.whole:
+            if flow.complete:
                 end = self.http.send(h11.EndOfMessage()) or b""
                 if end:
                     self.stage = Stage.SENT
                     await self.stream.send(end)
-        except (*BROKEN, h11.LocalProtocolError):
+        except (*STREAM_CLOSED_ERRORS, h11.LocalProtocolError):
             pass  # the answer, or the end of the stream, tells
 
     def _part(self, data: bytes) -> bytes:
@@ -222,7 +222,7 @@
             return await self._read()
         except h11.RemoteProtocolError:
             return self._spoilt()
-        except BROKEN:
+        except STREAM_CLOSED_ERRORS:
             return self._broken()  # here, since a task group would wrap it
 
     def _broken(self) -> Failure:
@@ -280,7 +280,7 @@
 async def connect(address: Address, time_out: float) -> Line | Failure:
     try:
         with anyio.fail_after(time_out):
-            return Line(streams.one_by_one(await anyio.connect_tcp(*address)))
+            return Line(streams.limit_reads(await anyio.connect_tcp(*address)))
     except OSError:  # a time-out is one too
         return Failure(Stage.CONNECTING, Cause.NO_CONNECTION)
 
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -12,7 +12,7 @@
 
 from thornladder import interface as api
 from thornladder.fields import MalformedError, get_choice, get_field, get_objects, get_optional, parse_object
-from thornladder.node.flow import Flow
+from thornladder.node.flow import BodyPipe
 from thornladder.settings import Address, parse_address, parse_load_report
 
 MOST_WHOLE = 64 * 1024  # bytes: bodies up to here are kept whole, larger ones flow through
@@ -41,7 +41,7 @@
     target: bytes
     headers: Headers
     body: bytes  # of one that flows what has come of it so far
-    flow: Flow | None = None
+    body_pipe: BodyPipe | None = None
     length: int | None = None  # bytes in all, where the flow's sender told
 
 
@@ -67,7 +67,7 @@
     come_back: float = 0.0
     headers: Headers | None = None
     body: bytes = b""
-    flow: Flow | None = None
+    body_pipe: BodyPipe | None = None
     length: int | None = None
 
 
@@ -78,7 +78,7 @@
     status: int
     headers: Headers
     body: bytes
-    flow: Flow | None = None
+    body_pipe: BodyPipe | None = None
     length: int | None = None
 
 
@@ -118,7 +118,7 @@
 
 
 def decode_invocation(
-    request: h11.Request, body: bytes, offerings: Mapping[str, api.Offering], flow: Flow | None = None
+    request: h11.Request, body: bytes, offerings: Mapping[str, api.Offering], flow: BodyPipe | None = None
 ) -> tuple[api.Invocation, Message] | BadInput:
     headers = list(request.headers)
     found = dict(headers)
@@ -168,7 +168,7 @@
             headers.append((b"Retry-After", b"%.3f" % answer.come_back))
     else:
         status, body = 502, b"terminated\n"
-    return encode(status, headers, body, closing, answer.flow is not None, answer.length)
+    return encode(status, headers, body, closing, answer.body_pipe is not None, answer.length)
 
 
 def encode_plain(status: int, words: str, closing: bool) -> tuple[h11.Response, bytes]:
@@ -221,9 +221,9 @@
     if not any(name == b"host" for name, _ in headers):
         headers.append((b"Host", host.encode()))  # an older client sent none
     headers.append((b"X-Budget-Ms", b"%d" % max(int(time_left * 1000.0), 1)))
-    if message.flow is not None and message.length is None:
+    if message.body_pipe is not None and message.length is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
-    elif message.flow is not None:
+    elif message.body_pipe is not None:
         headers.append((b"Content-Length", b"%d" % message.length))
     elif message.body or message.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
         headers.append((b"Content-Length", b"%d" % len(message.body)))
@@ -247,7 +247,7 @@
 
 
 def completed(reply: Reply) -> Answer:
-    return Answer(Ending.COMPLETED, 0.0, reply.headers, reply.body, reply.flow, reply.length)
+    return Answer(Ending.COMPLETED, 0.0, reply.headers, reply.body, reply.body_pipe, reply.length)
 
 
 # Discovery.
--- a/thornladder/node/operations.py
+++ b/thornladder/node/operations.py
@@ -45,7 +45,8 @@
         ready = self.host.list_known and self.front.is_open
         facts = {
             "ready": ready, "standby": self.front.server_state.standby,
-            "leaving": self.front.server_state.draining, "list_known": self.host.list_known, "backends": len(self.host.maintenance.entries),
+            "leaving": self.front.server_state.draining, "list_known": self.host.list_known,
+            "backends": len(self.host.maintenance.entries),
             "maintenance": self.host.maintenance.out, "connections": len(self.front.connections),
             "in_hand": len(self.host.exchanges), "blind_since": self.host.blind_since,
         }  # fmt: skip
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -26,14 +26,14 @@
 from thornladder.node.maintenance import Maintenance
 from thornladder.node.messages import ListAnswer
 from thornladder.node.operations import Operations
-from thornladder.node.streams import Held
+from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Config
 
 LAST_WORD = 0.2  # seconds for a part beside the node to tell others: well within what an end may take
 SWEEP = 0.15  # seconds between looks at connections: a trickle that may take 2.6 s ends within 3
 SPARE = 24  # descriptors for all but connections of clients and to backends: a dozen, and as many to spare
-LARGE_BODIES = 4  # of the memory for large bodies on their way, a fixed cost each (`flow.COST`)
+LARGE_BODIES = 4  # of the memory for large bodies on their way, a fixed cost each (`flow.BODY_PIPE_BYTES`)
 ASKING = 1.0 / 3.0  # of all descriptors: as many connections clients have at most to ask on
 CLIENTS = 0.6  # of the rest are for clients: an invocation holds one, and seldom more than one to a backend
 
@@ -58,7 +58,7 @@
         host = NodeHost(clock, tasks, log, handover.begin(clock()))
         transport = config.transport
         pool = Pool(sockets - clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
-        held = Held(max(config.memory // LARGE_BODIES, 2**20))
+        held = BodyBudget(max(config.memory // LARGE_BODIES, 2**20))
         reports = config.decisions["limits"].asks > 0.0
         pushes = Pushes(
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
@@ -145,9 +145,9 @@
             self.log.warning("the folder holds another deployment's files, which are not used")
         return maintenance
 
-    async def run(self, host: NodeHost, front: Front, pool: Pool, held: Held) -> None:
+    async def run(self, host: NodeHost, front: Front, pool: Pool, held: BodyBudget) -> None:
         # As it was at the start: after an error this begins anew.
-        self.whole = self.whole or (front.max_connections, pool.most, held.most)
+        self.whole = self.whole or (front.max_connections, pool.most, held.limit)
         clients, backends, memory = self.whole
         while True:
             self.used = front.connection_count + pool.held
@@ -159,7 +159,7 @@
             spare = max(clients + backends - self.used - others, 0) // parts
             front.max_connections = min(clients, max(front.connection_count + round(CLIENTS * spare), 4))
             pool.most = min(backends, max(pool.held + round((1.0 - CLIENTS) * spare), 4))
-            held.most = memory // parts
+            held.limit = memory // parts
             await anyio.sleep(self.LOOK)
 
     def leave(self, front: Front) -> None:
--- a/thornladder/node/streams.py
+++ b/thornladder/node/streams.py
@@ -13,9 +13,9 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-READ = 256_000  # bytes that the event loop reads at most in one go
+MAX_READ_BYTES = 256_000  # bytes that the event loop reads at most in one go
 # The other side has ended the stream, or this one has.
-BROKEN = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+STREAM_CLOSED_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 async def close(stream: SocketStream) -> None:
@@ -30,41 +30,41 @@
 
 
 def _descriptor(stream: SocketStream) -> int:
-    return raw(stream).fileno()
+    return raw_socket(stream).fileno()
 
 
-class Held:
+class BodyBudget:
     """Bytes of large bodies on their way through this node's memory.
 
     Guards against a crowd of them, or of sides that take them slowly, that outgrows the memory.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.bytes = most, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.used = limit, 0
         self.over: object | None = None  # who goes past the most: one at a time, so that no two wait for ever
         self.freed = anyio.Event()
 
-    async def take(self, size: int, holder: object) -> None:
+    async def acquire(self, size: int, holder: object) -> None:
         """Waits until `size` bytes more are bearable, or nobody else goes past that; and counts them.
 
         Guards against several that hold a part each, none of which can be had whole.
         """
-        while self.bytes + size > self.most and self.over not in (None, holder):
+        while self.used + size > self.limit and self.over not in (None, holder):
             await self.freed.wait()
-        if self.bytes + size > self.most:
+        if self.used + size > self.limit:
             self.over = holder
-        self.bytes += size
+        self.used += size
 
-    def give_back(self, size: int, holder: object = None) -> None:
+    def release(self, size: int, holder: object = None) -> None:
         if self.over is holder:
             self.over = None
         if size:
-            self.bytes -= size
+            self.used -= size
             self.freed.set()
             self.freed = anyio.Event()
 
 
-class OneByOne(asyncio.Protocol):
+class SingleReadProtocol(asyncio.Protocol):
     """Hands one read of a transport on, then reads no more until that is asked for.
 
     Guards against bodies that pile up in the library's queue: the event loop reads up to 32 times in one go,
@@ -81,16 +81,16 @@
         self.transport.pause_reading()
 
 
-def one_by_one(stream: SocketStream) -> SocketStream:
+def limit_reads(stream: SocketStream) -> SocketStream:
     """The same stream, that holds what one read of at most `READ` bytes brought, whoever sends how fast."""
     transport = getattr(stream, "_transport", None)
     if transport is not None and not transport.is_closing():
-        transport.set_protocol(OneByOne(transport))
+        transport.set_protocol(SingleReadProtocol(transport))
         transport.pause_reading()
     return stream
 
 
-def write_now(stream: SocketStream, data: bytes) -> bool:
+def try_write(stream: SocketStream, data: bytes) -> bool:
     """Hands over a few bytes without waiting; False if that cannot be done here, and nothing was.
 
     The library's own way costs a turn of the event loop for each. It is what that does, less the turn: the
@@ -107,7 +107,7 @@
 _LAST_DATA = struct.Struct("52xI")
 
 
-def unread_for(connection: socket.socket) -> float:
+def seconds_since_last_data(connection: socket.socket) -> float:
     """Seconds since bytes last came on a TCP connection; 0 where the kernel does not tell.
 
     For a message that is read only now this is how long it has waited: no clock of the node's own sees that.
@@ -119,11 +119,11 @@
         return 0.0
 
 
-def raw(stream: SocketStream) -> socket.socket:
+def raw_socket(stream: SocketStream) -> socket.socket:
     return stream.extra(SocketAttribute.raw_socket)
 
 
-def left(stream: SocketStream) -> bool:
+def peer_closed(stream: SocketStream) -> bool:
     """Whether the other side has closed, reset or half closed it, whatever lies unread before that.
 
     What cannot be looked at counts as there: its end is read as ever.
@@ -147,7 +147,7 @@
             return True
 
 
-def readable(stream: SocketStream) -> bool:
+def has_unread_data(stream: SocketStream) -> bool:
     """Whether the kernel holds bytes, or the end, that nobody has read yet; also where it cannot be asked."""
     return _events(stream, select.POLLIN) != 0
 
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -28,7 +28,7 @@
 from thornladder.node.host import NodeHost
 from thornladder.node.http1 import Cause, Failure, Line, Stage
 from thornladder.node.messages import Answer, Ending, Message
-from thornladder.node.streams import Held
+from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
 from thornladder.rig import moments
 from thornladder.rig.moments import Peer, Wire
@@ -376,7 +376,7 @@
             clock = anyio.current_time
             host = NodeHost(clock, tasks, self.log)  # type: ignore[arg-type]
             pool = Pool(4096, 60.0, 1.0, clock, connect=self._connect)
-            pushes = Pushes(pool, self.schedule.grace, False, Held(2**20), tasks, host, clock, self.log)
+            pushes = Pushes(pool, self.schedule.grace, False, BodyBudget(2**20), tasks, host, clock, self.log)
             lines = [listed(f"s{number}", "in_service") for number in range(self.schedule.backends)]
             known = messages.decode_list({"generation": 1, "reset": True, "instances": lines})
             watch = Watch(("list", 0), 1, tasks, host.list_told, self.log, connect=self.service.connect,
