--- a/tests/harness.py
+++ b/tests/harness.py
@@ -16,29 +16,29 @@
 from thornladder import decide, settings
 from thornladder.interface import (
     NO_REPORT,
-    ColdRule,
     Entry,
-    FurtherRule,
+    Idempotency,
     Invocation,
-    Kind,
     Limits,
     ListKind,
+    LoadReport,
     Offering,
     Outcome,
-    Report,
+    RetryBudgetRule,
+    SlowStartRule,
     State,
     Tenant,
 )
 from thornladder.node import messages, service
 
 OFFERINGS = [
-    Offering("look", Kind.REPEATABLE, "all", 5.0, 0.25, 1.0, 1.0, 0.2),
-    Offering("pay", Kind.ONCE_ONLY, "all", 5.0, 0.3, 1.0, 8.0, 0.2),
-    Offering("book", Kind.TAGGED, "zone", 0.3, 0.25, 0.5, 5.0, 0.2),
-    Offering("note", Kind.TAGGED, "cell", 0.4, 0.25, 0.8, 2.0, 0.2),
-    Offering("mark", Kind.TAGGED, "all", 0.4, 0.25, 0.8, 2.0, 0.2),
+    Offering("look", Idempotency.REPEATABLE, "all", 5.0, 0.25, 1.0, 1.0, 0.2),
+    Offering("pay", Idempotency.ONCE_ONLY, "all", 5.0, 0.3, 1.0, 8.0, 0.2),
+    Offering("book", Idempotency.TAGGED, "zone", 0.3, 0.25, 0.5, 5.0, 0.2),
+    Offering("note", Idempotency.TAGGED, "cell", 0.4, 0.25, 0.8, 2.0, 0.2),
+    Offering("mark", Idempotency.TAGGED, "all", 0.4, 0.25, 0.8, 2.0, 0.2),
 ]
-COLD = ColdRule(share=0.2, warm_up=20.0, multiple=3.0, span=1.0)
+COLD = SlowStartRule(initial_capacity=0.2, warm_up=20.0, overload_multiple=3.0, overload_window=1.0)
 
 
 def entry(
@@ -63,7 +63,7 @@
 
     def __init__(
         self, seed: int = 1, copies: bool = True, probes: bool = True, nodes: int = 2, asks: float = 0.0,
-        worst_offering: float = 0.0, further: FurtherRule | None = None, soft_removal: bool = False,
+        worst_offering: float = 0.0, further: RetryBudgetRule | None = None, soft_removal: bool = False,
     ) -> None:  # fmt: skip
         self.now, self.soft_removal = 100.0, soft_removal
         self.accounts: dict[str, Account] = {}
@@ -75,8 +75,9 @@
         self.lines: list[str] = []
         self.copies = copies
         limits = Limits(
-            max_pushes=4, second_copies=copies, cancelling=True, probes=probes, come_back=0.5, asks=asks,
-            further=further, soft_removal=soft_removal,
+            max_pushes=4, hedging=copies, cancellation=True, probes=probes, max_retry_after=0.5,
+            probes_per_invocation=asks,
+            retry_budget=further, soft_removal=soft_removal,
         )  # fmt: skip
         self.node = decide.Node(
             self, seed=seed, now=self.now, zone="x", rank=1, nodes=nodes, offerings=OFFERINGS,
@@ -87,35 +88,35 @@
 
     # The host's calls.
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         account = self.accounts[invocation]
         assert not account.final, "pushed after its final answer"
         assert backend in self.listed, "pushed to a backend that drains or is gone"
-        assert self.now < account.cut_off and 0 < time_out <= account.cut_off - self.now + 1e-9
+        assert self.now < account.cut_off and 0 < timeout <= account.cut_off - self.now + 1e-9
         assert len(account.pushes) < 4
         assert self.copies or len(account.ended) == len(account.pushes), "two pushes out at once"
         maybe = self.may_have_run(account)
-        if maybe and account.offering.kind is not Kind.REPEATABLE:
-            assert account.offering.kind is Kind.TAGGED, "once-only pushed again"
+        if maybe and account.offering.idempotency is not Idempotency.REPEATABLE:
+            assert account.offering.idempotency is Idempotency.TAGGED, "once-only pushed again"
             first, sent = maybe[0]
             here, there = self.places[backend], self.places[first]
-            if account.offering.group == "zone":
+            if account.offering.dedup_scope == "zone":
                 assert here.zone == there.zone
-            elif account.offering.group == "cell":
+            elif account.offering.dedup_scope == "cell":
                 assert here.cell == there.cell
-            assert self.now < sent + account.offering.window, "pushed after its window"
+            assert self.now < sent + account.offering.dedup_window, "pushed after its window"
         account.pushes.append((backend, self.now))
 
     def cancel(self, invocation: str, number: int) -> None:
         assert number < len(self.accounts[invocation].pushes)
 
-    def nack(self, invocation: str, come_back: float) -> None:
+    def nack(self, invocation: str, retry_after: float) -> None:
         account = self.accounts[invocation]
         offering = account.offering
         assert not account.final, "two final answers"
-        assert come_back <= 0.5
-        tagged_anywhere = offering.kind is Kind.TAGGED and offering.group == "all"
-        harmless = offering.kind is Kind.REPEATABLE or tagged_anywhere
+        assert retry_after <= 0.5
+        tagged_anywhere = offering.idempotency is Idempotency.TAGGED and offering.dedup_scope == "all"
+        harmless = offering.idempotency is Idempotency.REPEATABLE or tagged_anywhere
         assert harmless or not self.may_have_run(account), "nacked though it may have run"
         account.final = "nacked"
 
@@ -143,8 +144,8 @@
         return [push for number, push in enumerate(account.pushes)
                 if number not in account.ended or not account.ended[number].never_ran]  # fmt: skip
 
-    def list(self, entries: list[Entry], kind: ListKind = ListKind.WHOLE) -> None:
-        if kind in (ListKind.WHOLE, ListKind.RESTORED) and not self.soft_removal:
+    def list(self, entries: list[Entry], kind: ListKind = ListKind.SNAPSHOT) -> None:
+        if kind in (ListKind.SNAPSHOT, ListKind.RESTORED) and not self.soft_removal:
             self.listed.clear()
         for line in entries:
             self.places[line.backend] = line
@@ -154,7 +155,7 @@
                 self.listed.discard(line.backend)
         self.node.on_list(self.now, kind, entries)
         if kind is ListKind.RESTORED:
-            self.node.on_list(self.now, ListKind.CHANGES, [])  # the watch stands
+            self.node.on_list(self.now, ListKind.DELTA, [])  # the watch stands
 
     def come(self, id: str, name: str = "look", left: float | None = None, tenant: str = "t") -> Account:
         offering = next(offering for offering in OFFERINGS if offering.name == name)
@@ -171,7 +172,7 @@
         sent = account.pushes[number][1]
         self.node.on_push_ended(self.now, id, number, outcome, self.now - sent, bool(account.final))
 
-    def probed(self, backend: str, outcome: Outcome, report: Report = NO_REPORT) -> None:
+    def probed(self, backend: str, outcome: Outcome, report: LoadReport = NO_REPORT) -> None:
         self.node.on_probe_ended(self.now, backend, outcome, report)
 
     def lose(self, id: str) -> str:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -16,7 +16,7 @@
 from thornladder import settings
 from thornladder.budget import Budget
 from thornladder.fields import Malformed
-from thornladder.interface import Entry, FurtherRule, ListKind, Outcome, State
+from thornladder.interface import Entry, ListKind, Outcome, RetryBudgetRule, State
 
 
 class Exact:
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("rule", RULES)
 def test_never_more_than_the_exact_count_over_a_million_events(rule: tuple[float, float, float]) -> None:
     """Two hundred thousand for each rule, with bursts round the edges of windows and of slices."""
-    chance, exact, budget = random.Random(7), Exact(*rule), Budget(FurtherRule(*rule))
+    chance, exact, budget = random.Random(7), Exact(*rule), Budget(RetryBudgetRule(*rule))
     span, now, allowed = round(rule[2] * 1e6), 8_412_250, 0
     edges = deque([now], maxlen=4)
     for _ in range(200_000):
@@ -65,7 +65,7 @@
 
 
 def test_uses_nearly_all_that_the_rule_leaves() -> None:
-    budget, pushed = Budget(FurtherRule(2.0, 0.15, 10.0)), 0
+    budget, pushed = Budget(RetryBudgetRule(2.0, 0.15, 10.0)), 0
     for step in range(6000):
         now = 100.0 + step * 0.01
         budget.taken.add(1, now, now)
@@ -85,10 +85,10 @@
     steps: list[str], rule: tuple[float, float, float], seed: int
 ) -> None:
     """Counted at the host: a push beyond the first, unless it turned out not to have been sent."""
-    bench = Bench(seed, further=FurtherRule(*rule))
+    bench = Bench(seed, further=RetryBudgetRule(*rule))
     bench.list([entry(n) for n in range(8)])
     taken: list[float] = []
-    ends = {"break": Outcome.BROKEN_OFF, "full": Outcome.FULL, "unsent": Outcome.NOT_SENT,
+    ends = {"break": Outcome.CONNECTION_LOST, "full": Outcome.REJECTED, "unsent": Outcome.NOT_SENT,
             "done": Outcome.COMPLETED}  # fmt: skip
     for number, step in enumerate(steps):
         if step == "come":
@@ -111,21 +111,21 @@
 
 
 def test_without_budget_left_an_invocation_is_answered_at_once() -> None:
-    bench = Bench(further=FurtherRule(1.0, 0.0, 5.0))
+    bench = Bench(further=RetryBudgetRule(1.0, 0.0, 5.0))
     bench.list([entry(n) for n in range(8)])
     for id in "ab":
         bench.come(id, "pay")
-        bench.end(id, 0, Outcome.FULL)
+        bench.end(id, 0, Outcome.REJECTED)
     assert len(bench.accounts["a"].pushes) == 2 and bench.accounts["b"].final == "nacked"
 
 
 def test_a_new_span_forgets_nothing_that_was_pushed() -> None:
-    budget = Budget(FurtherRule(3.0, 0.0, 5.0))
+    budget = Budget(RetryBudgetRule(3.0, 0.0, 5.0))
     for _ in range(3):
         budget.further.add(1, 100.0, 100.0)
-    assert not budget.under(FurtherRule(3.0, 0.0, 8.0), 104.0).allows(111.9)
-    assert not budget.under(FurtherRule(3.0, 0.0, 5.0), 104.0).allows(104.9)
-    assert budget.under(FurtherRule(3.0, 0.0, 5.0), 104.0).allows(105.2)
+    assert not budget.under(RetryBudgetRule(3.0, 0.0, 8.0), 104.0).allows(111.9)
+    assert not budget.under(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(104.9)
+    assert budget.under(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(105.2)
 
 
 def here(number: int, state: State = State.RUNNING) -> Entry:
@@ -152,7 +152,7 @@
 
     def leaves(number: int, state: State) -> None:
         if how == "gone" or state is State.DRAINING:
-            bench.list([here(number, state)], ListKind.CHANGES)
+            bench.list([here(number, state)], ListKind.DELTA)
         else:
             bench.list([each for each in entries if each.backend not in {f"b{number:02}", "b01"}])
 
@@ -170,7 +170,7 @@
     bench.advance(8.0)
     assert "b02" not in serving(bench), "found dead, it is gone as the list says"
     assert {backend.id for backend in bench.node.roster.usable} == {"b00", "b03", "b04", "b05"}
-    bench.list([here(1), here(2)], ListKind.CHANGES)
+    bench.list([here(1), here(2)], ListKind.DELTA)
     assert {"b01", "b02"} <= {backend.id for backend in bench.node.roster.usable}
 
 
@@ -200,6 +200,6 @@
     info["Rules"].update({"ExtraFloor": 2, "RepeatRatio": 0.15, "BudgetSpan": 10_000_000})
     info["Rules"]["SoftRemoval"] = True
     limits = settings.decisions(info)["limits"]
-    assert limits.further == FurtherRule(2.0, 0.15, 10.0) and limits.soft_removal
+    assert limits.retry_budget == RetryBudgetRule(2.0, 0.15, 10.0) and limits.soft_removal
     free = settings.decisions(SETTINGS)["limits"]
-    assert not free.soft_removal and free.further is None
+    assert not free.soft_removal and free.retry_budget is None
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -360,8 +360,8 @@
     health, now = bench.node.health, bench.now
     assert health.units["look"].read(now) < 0.1 and health.longest(now) < 0.1
     for outcome, final in (
-        (Outcome.FULL, "nacked"),
-        (Outcome.BROKEN_OFF, "nacked"),
+        (Outcome.REJECTED, "nacked"),
+        (Outcome.CONNECTION_LOST, "nacked"),
         (Outcome.NOT_SENT, "nacked"),
     ):
         id = outcome.value
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -11,7 +11,7 @@
 from harness import Bank, Bench, Got, entry, reply, until
 
 from thornladder.decide import Core
-from thornladder.interface import Kind, Offering
+from thornladder.interface import Idempotency, Offering
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.early import Early
 from thornladder.node.clients.front import Front
@@ -70,8 +70,8 @@
     assert bench.node.turns_away(bench.now + 1.0, "pay", 0.5, 0.0) is None
 
 
-LOOK = Offering("look", Kind.REPEATABLE, "all", 0.0, 0.25, 1.0, 1.0, 0.0)
-PAY = Offering("pay", Kind.ONCE_ONLY, "all", 0.0, 0.3, 1.0, 8.0, 0.0)
+LOOK = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 0.25, 1.0, 1.0, 0.0)
+PAY = Offering("pay", Idempotency.ONCE_ONLY, "all", 0.0, 0.3, 1.0, 8.0, 0.0)
 
 
 def test_only_what_is_plainly_one_whole_invocation_is_turned_away_at_a_glance() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -24,13 +24,13 @@
     bench.list([entry(1, weight=2.0), entry(2, weight=1.0), entry(3, weight=0.0)], ListKind.RESTORED)
     assert weights(bench) == {"b01": 100, "b02": 50}
     bench.advance(6.0)
-    bench.list([entry(4, weight=2.0)], ListKind.CHANGES)
+    bench.list([entry(4, weight=2.0)], ListKind.DELTA)
     start, length = bench.now, bench.node.ramp.length
     for part in (0.0, 0.3, 0.5, 0.8, 1.0):
         bench.advance(start + part * length - bench.now)
         bench.node._rebuild(bench.now)
         assert weights(bench)["b04"] == pytest.approx(100 * max(part, 0.2), abs=1)
-    bench.list([entry(1)._replace(weight=None)], ListKind.CHANGES)
+    bench.list([entry(1)._replace(weight=None)], ListKind.DELTA)
     assert weights(bench) == {"b01": 100, "b02": 1, "b04": 2}
 
 
@@ -40,11 +40,11 @@
     bench.list([entry(1), young, old], ListKind.RESTORED)
     assert [ramped(bench, n) for n in (1, 2, 3)] == [False, True, False]
     bench.advance(1.0)
-    bench.list([entry(4), entry(5, started=bench.now - 1)], ListKind.CHANGES)
+    bench.list([entry(4), entry(5, started=bench.now - 1)], ListKind.DELTA)
     assert not ramped(bench, 4), "the grace keeps a late arrival mature"
     assert ramped(bench, 5), "but never hides a recent start"
     bench.advance(9.0)
-    bench.list([entry(6), entry(3, started=bench.now - 1)], ListKind.CHANGES)
+    bench.list([entry(6), entry(3, started=bench.now - 1)], ListKind.DELTA)
     assert ramped(bench, 6) and ramped(bench, 3)
     assert bench.node.roster.known["b03"].ramp_start == bench.now - 1
 
@@ -53,9 +53,9 @@
     bench = Bench()
     bench.list([entry(1), entry(2)], ListKind.RESTORED)
     length = bench.node.ramp.length
-    bench.list([entry(2, State.DRAINING)], ListKind.CHANGES)
+    bench.list([entry(2, State.DRAINING)], ListKind.DELTA)
     bench.advance(0.9 * length)
-    bench.list([entry(2)], ListKind.CHANGES)
+    bench.list([entry(2)], ListKind.DELTA)
     assert not ramped(bench, 2)
     bench.list([entry(1)])
     bench.advance(1.1 * length)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -13,7 +13,7 @@
 
 from thornladder import decide, settings
 from thornladder.fields import Malformed
-from thornladder.interface import NO_REPORT, ListKind, Outcome, Report, State
+from thornladder.interface import NO_REPORT, ListKind, LoadReport, Outcome, State
 from thornladder.node import messages
 
 OWN_NODE = {
@@ -27,7 +27,7 @@
 def told(bench: Bench, held: float = 4.0) -> None:
     """Every probe that is out is answered."""
     while bench.probes:
-        bench.probed(bench.probes.pop(0), Outcome.COMPLETED, Report(held))
+        bench.probed(bench.probes.pop(0), Outcome.COMPLETED, LoadReport(held))
 
 
 def settled(backends: list[int], **given: object) -> Bench:
@@ -86,8 +86,8 @@
 def test_a_report_of_many_held_makes_the_pick_yield_until_it_is_old() -> None:
     bench, met = settled([0, 2], copies=False), []
     for step in range(40):
-        bench.probed("b00", Outcome.COMPLETED, Report(20.0))
-        bench.probed("b02", Outcome.COMPLETED, Report(1.0))
+        bench.probed("b00", Outcome.COMPLETED, LoadReport(20.0))
+        bench.probed("b02", Outcome.COMPLETED, LoadReport(1.0))
         met.append(bench.come(f"x{step}").pushes[0][0])
         bench.probes.clear()
         bench.complete_all(0.02)
@@ -108,14 +108,14 @@
         for step in range(60):
             if odd:
                 bench.probed("b01", Outcome.COMPLETED, NO_REPORT)
-                bench.probed("nobody", Outcome.COMPLETED, Report(9.0))
+                bench.probed("nobody", Outcome.COMPLETED, LoadReport(9.0))
             bench.come(f"i{step}")
             bench.complete_all(0.02)
     first, second = ([account.pushes for account in bench.accounts.values()] for bench in benches)
     assert first == second
     for value in (-1, 1e99, float("nan"), float("inf"), "4", None, True, [], {}):
         assert settings.report({"rif": value, "odd": 1, "fail_rate": value, "rate": value}) == NO_REPORT
-    assert settings.report({"rif": 3, "q": "x"}) == Report(3.0)
+    assert settings.report({"rif": 3, "q": "x"}) == LoadReport(3.0)
     for body in (b"", b"x", b"[]", b"{" * 5000, b'{"rif":', b'{"rif":"4"}', b"\xff\xfe"):
         assert messages.decode_report(body) == NO_REPORT
 
@@ -124,22 +124,22 @@
     """Guards against a hang that a shallow probe does not see: each answer to one brought it back."""
     bench = Bench(asks=1.0)
     bench.list([entry(n) for n in range(6)])
-    bench.probed("b01", Outcome.COMPLETED, Report(12.0, 0.0, 0.0))
+    bench.probed("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
     assert bench.node.health.views["b01"].cause == "hung"
     bench.advance(3.0)
-    bench.probed("b01", Outcome.COMPLETED, Report(14.0, 0.0, 0.0))
+    bench.probed("b01", Outcome.COMPLETED, LoadReport(14.0, 0.0, 0.0))
     assert bench.node.health.views["b01"].cause == "hung"
-    bench.probed("b01", Outcome.COMPLETED, Report(2.0, 0.0, 20.0))
+    bench.probed("b01", Outcome.COMPLETED, LoadReport(2.0, 0.0, 20.0))
     assert not bench.node.health.views["b01"].cause
 
 
 def test_a_backend_whose_report_counts_errors_is_out_until_it_counts_none() -> None:
     bench = Bench(asks=1.0)
     bench.list([entry(n) for n in range(6)])
-    bench.probed("b01", Outcome.COMPLETED, Report(1.0, 9.0))
-    bench.probed("b02", Outcome.COMPLETED, Report(6.0, 0.2))
+    bench.probed("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
+    bench.probed("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
     assert bench.node.health.views["b01"].cause == "erring" and not bench.node.health.views["b02"].cause
-    bench.probed("b01", Outcome.COMPLETED, Report(1.0, 0.0))
+    bench.probed("b01", Outcome.COMPLETED, LoadReport(1.0, 0.0))
     assert not bench.node.health.views["b01"].cause
 
 
@@ -154,7 +154,7 @@
             bench.advance(0.025)
             bench.probes[:] = [backend for backend in bench.probes if backend == first and silent]
             if not silent:
-                bench.probed(first, Outcome.COMPLETED, Report(4.0))
+                bench.probed(first, Outcome.COMPLETED, LoadReport(4.0))
             for id, number in cancelled:
                 if number not in bench.accounts[id].ended:
                     bench.end(id, number, Outcome.CANCELLED)
@@ -178,7 +178,7 @@
         told(bench, rng.choice([1.0, 5.0]))
         bench.advance(rng.choice([0.01, 0.05]))
         while not account.final and len(account.ended) < len(account.pushes):
-            bench.end(f"i{step}", len(account.ended), rng.choice([Outcome.ERRED, Outcome.BROKEN_OFF]))
+            bench.end(f"i{step}", len(account.ended), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST]))
         assert account.final, "given up and not answered at once"
     assert come_back and all(0.0 < after <= 0.5 for after in come_back)
 
@@ -188,7 +188,13 @@
     rng = random.Random(seed)
     bench = Bench(seed, copies=seed % 2 == 0, nodes=30, asks=3.0, worst_offering=0.3)
     bench.list([entry(n) for n in range(8)], ListKind.RESTORED)
-    odd = (NO_REPORT, Report(0.0), Report(40.0, 5.0, 0.0), Report(3.0, None, 9.0), Report(1e5, 1e5, 1e5))
+    odd = (
+        NO_REPORT,
+        LoadReport(0.0),
+        LoadReport(40.0, 5.0, 0.0),
+        LoadReport(3.0, None, 9.0),
+        LoadReport(1e5, 1e5, 1e5),
+    )
     for step in range(500):
         bench.come(f"i{step}", rng.choice(["look", "pay", "book", "note", "mark"]))
         for _ in range(min(len(bench.probes), rng.randrange(3))):
@@ -198,7 +204,7 @@
                 bench.end(id, number, rng.choice(list(Outcome)))
         if rng.random() < 0.1:
             state = rng.choice([State.RUNNING, State.DRAINING])
-            bench.list([entry(rng.randrange(8), state, rng.choice([None, bench.now - 1]))], ListKind.CHANGES)
+            bench.list([entry(rng.randrange(8), state, rng.choice([None, bench.now - 1]))], ListKind.DELTA)
         bench.advance(rng.choice([0.0, 0.01, 0.1]))
     while bench.open():
         bench.end(*bench.open()[0], Outcome.CANCELLED)
@@ -238,7 +244,7 @@
 
 def test_each_shape_alone_is_taken_and_probes_are_paced_by_their_price() -> None:
     def asks(info: dict) -> float:
-        return settings.decode({**config([], 1), "settings": info}).decisions["limits"].asks
+        return settings.decode({**config([], 1), "settings": info}).decisions["limits"].probes_per_invocation
 
     assert asks(SETTINGS) == 0.0
     assert asks({**SETTINGS, "Report": {"Fields": [], "Source": "silent"}, "Tenants": []}) == 0.0
@@ -249,10 +255,10 @@
 @pytest.mark.anyio
 async def test_a_load_probe_on_sockets_reaches_the_module(monkeypatch: pytest.MonkeyPatch) -> None:
     """Malformed reports among them, which change nothing and end nothing."""
-    heard: dict[str, Report] = {}
+    heard: dict[str, LoadReport] = {}
     tell = decide.Node.on_probe_ended
 
-    def hear(node: decide.Node, now: float, id: str, outcome: Outcome, report: Report) -> None:
+    def hear(node: decide.Node, now: float, id: str, outcome: Outcome, report: LoadReport) -> None:
         heard[id] = report
         tell(node, now, id, outcome, report)
 
@@ -269,7 +275,7 @@
                 if number >= 39 and len(heard) == 4:
                     break
         assert not any(got.target == "/health/live" for each in bank.backends for got in each.got)
-    assert heard.pop("s0") == Report(7.0, 0.5)
+    assert heard.pop("s0") == LoadReport(7.0, 0.5)
     assert set(heard.values()) == {NO_REPORT}
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -430,14 +430,14 @@
     def ends(cause: Cause) -> list[Outcome]:
         return [outcome_of(Failure(stage, cause)) for stage in Stage]
 
-    unreachable, broken = Outcome.UNREACHABLE, Outcome.BROKEN_OFF
+    unreachable, broken = Outcome.UNREACHABLE, Outcome.CONNECTION_LOST
     assert ends(Cause.BROKEN) == [unreachable, unreachable, broken, broken]
     assert ends(Cause.TIME_OUT) == [Outcome.NOT_SENT] * 2 + [Outcome.TIMED_OUT] * 2
-    assert ends(Cause.SPOILT) == [Outcome.ERRED] * 4
+    assert ends(Cause.SPOILT) == [Outcome.ERROR] * 4
     assert ends(Cause.CANCELLED) == [Outcome.NOT_SENT] * 2 + [Outcome.CANCELLED] * 2
     refusal = [(b"x-rejected", b"1")]
-    assert outcome_of(Reply(503, refusal, b"")) is outcome_of(Reply(504, refusal, b"")) is Outcome.FULL
-    assert outcome_of(Reply(429, refusal, b"")) is outcome_of(Reply(503, [], b"")) is Outcome.ERRED
+    assert outcome_of(Reply(503, refusal, b"")) is outcome_of(Reply(504, refusal, b"")) is Outcome.REJECTED
+    assert outcome_of(Reply(429, refusal, b"")) is outcome_of(Reply(503, [], b"")) is Outcome.ERROR
 
 
 async def test_a_kept_connection_that_breaks_under_the_write_says_nothing_of_its_process() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -191,7 +191,7 @@
     return Entry(id, state, "x", 0, 1.0, started, "")
 
 
-def answer(*entries: Entry, kind: ListKind = ListKind.WHOLE) -> ListAnswer:
+def answer(*entries: Entry, kind: ListKind = ListKind.SNAPSHOT) -> ListAnswer:
     return ListAnswer(1, kind, list(entries), {each.backend: ("127.0.0.1", 1) for each in entries})
 
 
@@ -202,18 +202,18 @@
     ]  # fmt: skip
     assert it.lay(answer(entry("b")), 61.0).entries == [entry("b")]  # it left the list while out
     assert it.knows("a") and not it.knows("c")
-    [back] = it.lay(answer(entry("a", started=59.0), kind=ListKind.CHANGES), 62.0).entries
+    [back] = it.lay(answer(entry("a", started=59.0), kind=ListKind.DELTA), 62.0).entries
     assert back.state is State.DRAINING
     assert it.set({"a": Mark(False, 49.0)}) is None  # an older call
     news = it.set({"a": Mark(False, 70.0)})
     assert [(each.state, each.started_at) for each in news.entries] == [(State.RUNNING, 70.0)]
-    [later] = it.lay(answer(entry("a", started=80.0), kind=ListKind.CHANGES), 81.0).entries
+    [later] = it.lay(answer(entry("a", started=80.0), kind=ListKind.DELTA), 81.0).entries
     assert later.started_at == 80.0
-    [older] = it.lay(answer(entry("a", started=59.0), kind=ListKind.CHANGES), 82.0).entries
+    [older] = it.lay(answer(entry("a", started=59.0), kind=ListKind.DELTA), 82.0).entries
     assert older.started_at == 70.0
     assert it.set({"b": Mark(False, 90.0)}) is None  # was never out
     it.set({"b": Mark(True, 91.0)})
-    [gone] = it.lay(answer(entry("b", State.DRAINING), kind=ListKind.CHANGES), 92.0).entries
+    [gone] = it.lay(answer(entry("b", State.DRAINING), kind=ListKind.DELTA), 92.0).entries
     assert gone.state is State.DRAINING
     assert it.set({"b": Mark(False, 93.0)}).entries[0].state is State.DRAINING  # by discovery's word
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -17,7 +17,7 @@
 
 from thornladder import settings
 from thornladder.fields import Malformed
-from thornladder.interface import Kind, Limits, Outcome
+from thornladder.interface import Idempotency, Limits, Outcome
 
 pytestmark = pytest.mark.anyio
 LOOK, PAY, BOOK = SETTINGS["Classes"]
@@ -132,18 +132,18 @@
     told = settings.decisions(SETTINGS)
     bench.list([entry(number) for number in range(4)])
     before = bench.come("a", "look")
-    stricter = [dataclasses.replace(OFFERINGS[0], kind=Kind.ONCE_ONLY), *OFFERINGS[2:]]
-    limits = Limits(max_pushes=2, second_copies=False, cancelling=True, probes=True, come_back=0.5)
+    stricter = [dataclasses.replace(OFFERINGS[0], idempotency=Idempotency.ONCE_ONLY), *OFFERINGS[2:]]
+    limits = Limits(max_pushes=2, hedging=False, cancellation=True, probes=True, max_retry_after=0.5)
     bench.node.on_settings(bench.now, **{**told, "offerings": stricter, "limits": limits, "zone": "x"})
-    bench.end("a", 0, Outcome.BROKEN_OFF)
+    bench.end("a", 0, Outcome.CONNECTION_LOST)
     assert len(before.pushes) == 2  # repeatable, as it came
     after = bench.come("b", "look")
     after.offering = stricter[0]
-    bench.end("b", 0, Outcome.BROKEN_OFF)
+    bench.end("b", 0, Outcome.CONNECTION_LOST)
     assert len(after.pushes) == 1 and after.final == "terminated"
     third = bench.come("c", "book")
-    bench.end("c", 0, Outcome.FULL)
-    bench.end("c", 1, Outcome.FULL)
+    bench.end("c", 0, Outcome.REJECTED)
+    bench.end("c", 1, Outcome.REJECTED)
     assert len(third.pushes) == 2  # fewer than before
     assert "pay" not in bench.node.offerings
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,7 +30,7 @@
             state = rng.choice(list(State))
             number = rng.randrange(most + 3)
             if state is State.RUNNING or f"b{number:02}" in bench.places:
-                bench.list([entry(number, state, rng.choice([None, bench.now - 3]))], ListKind.CHANGES)
+                bench.list([entry(number, state, rng.choice([None, bench.now - 3]))], ListKind.DELTA)
         elif chance < 0.89:
             bench.list([entry(n) for n in range(rng.randint(0, most))])
         elif chance < 0.9:
@@ -54,16 +54,16 @@
     bench = Bench(seed)
     bench.list([entry(n) for n in range(4)], ListKind.RESTORED)
     bench.advance(6.0)
-    bench.list([entry(9)], ListKind.CHANGES)
+    bench.list([entry(9)], ListKind.DELTA)
     rng = random.Random(seed)
     start, sent = bench.now, []
     for step in range(1500):
         account = bench.come(f"i{step}", "look")
         sent += [(bench.now, 0.03) for backend, _ in account.pushes[:1] if backend == "b09"]
         # A typical backend has at least one core; the node keeps to its half of what two nodes may send.
-        window = [cost for when, cost in sent if when > bench.now - COLD.span]
-        capacity = max(COLD.share, (bench.now - start) / COLD.warm_up)
-        assert len(window) <= 1 or sum(window) <= COLD.multiple * capacity * COLD.span / 2
+        window = [cost for when, cost in sent if when > bench.now - COLD.overload_window]
+        capacity = max(COLD.initial_capacity, (bench.now - start) / COLD.warm_up)
+        assert len(window) <= 1 or sum(window) <= COLD.overload_multiple * capacity * COLD.overload_window / 2
         bench.advance(rng.choice([0.0, 0.0, 0.004]))
         if step % 5 == 0:
             bench.complete_all(0.035)
@@ -73,10 +73,10 @@
     bench = Bench()
     bench.list([entry(n) for n in range(4)])
     account = bench.come("a", "pay")
-    bench.end("a", 0, Outcome.ERRED)
+    bench.end("a", 0, Outcome.ERROR)
     assert account.final == "terminated" and len(account.pushes) == 1
     account = bench.come("b", "pay")
-    bench.end("b", 0, Outcome.FULL)
+    bench.end("b", 0, Outcome.REJECTED)
     assert len(account.pushes) == 2 and not account.final
 
 
@@ -113,7 +113,7 @@
         bench.come(f"i{step}")
         if rng.random() < 0.1:
             bench.advance(0.01)
-            bench.end(f"i{step}", 0, Outcome.BROKEN_OFF)
+            bench.end(f"i{step}", 0, Outcome.CONNECTION_LOST)
         bench.complete_all(0.02)
     assert not bench.lines and not any(b.ramp_start for b in bench.node.roster.usable)
 
@@ -131,7 +131,7 @@
                 bench.end(id, number, Outcome.UNREACHABLE)
             else:
                 broke = chance.random() < share
-                bench.end(id, number, Outcome.BROKEN_OFF if broke else Outcome.COMPLETED)
+                bench.end(id, number, Outcome.CONNECTION_LOST if broke else Outcome.COMPLETED)
     return accounts
 
 
@@ -166,7 +166,7 @@
         bench.come(f"i{step}")
         bench.advance(0.02)
         while bench.open():
-            bench.end(*bench.open()[0], Outcome.ERRED if rng.random() < 0.05 else Outcome.COMPLETED)
+            bench.end(*bench.open()[0], Outcome.ERROR if rng.random() < 0.05 else Outcome.COMPLETED)
         for backend in bench.node.roster.usable if step > 200 else ():
             free = health.slowness(backend, 0.05, bench.now) * 0.05
             prices.append(health.wait(backend, 0.05, bench.now) - free)
@@ -182,7 +182,7 @@
         bench.advance(0.02)
         for number, (backend, _) in enumerate(account.pushes):
             met += 1
-            bench.end(f"i{step}", number, Outcome.FULL if rng.random() < 0.35 else Outcome.COMPLETED)
+            bench.end(f"i{step}", number, Outcome.REJECTED if rng.random() < 0.35 else Outcome.COMPLETED)
             held += not bench.node.health.pickable(bench.node.roster.known[backend], bench.now + 0.02)
     assert met > 1500 and held < 0.05 * met
 
@@ -215,7 +215,7 @@
         bench.advance(0.03)
         for number, (backend, _) in enumerate(account.pushes):
             if number not in account.ended:
-                bench.end(f"i{step}", number, Outcome.FULL if backend == broken else Outcome.COMPLETED)
+                bench.end(f"i{step}", number, Outcome.REJECTED if backend == broken else Outcome.COMPLETED)
     pushes = [backend for account in bench.accounts.values() for backend, _ in account.pushes]
     assert 2 <= pushes.count(broken) <= 5
 
@@ -268,7 +268,7 @@
     bench.list([entry(n) for n in range(4)])
     bad = bench.come("a").pushes[0][0]
     bench.node.health.views[bad].erred.add(9.0, bench.now)
-    bench.end("a", 0, Outcome.ERRED)
+    bench.end("a", 0, Outcome.ERROR)
     assert bench.lines == [f"ejected {bad}: erring"]
     bench.complete_all()
     bench.advance(2.0)
@@ -296,11 +296,11 @@
     for id in ("a", "b", "x"):
         bench.come(id, "pay")
     for id in ("a", "x"):
-        bench.end(id, 0, Outcome.BROKEN_OFF)
+        bench.end(id, 0, Outcome.CONNECTION_LOST)
     bench.advance(2.0)
     trial = bench.come("c")
     assert len(trial.pushes) == 1
-    bench.end("b", 0, Outcome.BROKEN_OFF)  # an older push, so a new sentence
+    bench.end("b", 0, Outcome.CONNECTION_LOST)  # an older push, so a new sentence
     bench.end("c", 0, Outcome.TIMED_OUT)
     bench.advance(10.0)
     assert len(bench.come("d").pushes) == 1, "the backend stayed out for good"
@@ -315,7 +315,7 @@
         bench.advance(0.02)
     bench.end("a", 0, Outcome.UNREACHABLE)
     bench.advance(0.31 - (bench.now - account.pushes[0][1]))
-    bench.end("a", 1, Outcome.ERRED)
+    bench.end("a", 1, Outcome.ERROR)
     assert len(account.pushes) == 2 and account.final == "terminated"
 
 
@@ -353,7 +353,7 @@
     for bench in benches:
         bench.list([entry(n) for n in range(6)], ListKind.RESTORED)
         bench.advance(8.0)
-        bench.list([entry(9)] + [entry(n, State.GONE) for n in range(6)], ListKind.CHANGES)
+        bench.list([entry(9)] + [entry(n, State.GONE) for n in range(6)], ListKind.DELTA)
     start = benches[0].now
     for step in range(30):
         for bench in benches:
@@ -365,8 +365,8 @@
             bench.advance(start + 0.1 * (step + 1) - bench.now)
     assert len(reached) > 3
     for when, _ in reached:
-        window = sum(cost for other, cost in reached if when <= other < when + COLD.span)
-        assert window <= COLD.multiple * COLD.share * COLD.span, (when, window)
+        window = sum(cost for other, cost in reached if when <= other < when + COLD.overload_window)
+        assert window <= COLD.overload_multiple * COLD.initial_capacity * COLD.overload_window, (when, window)
 
 
 def test_a_node_that_hears_no_list_stops_when_it_is_deemed_told() -> None:
@@ -408,7 +408,7 @@
         for id in "ab":
             bad = bench.come(id, "pay", tenant="").pushes[0][0]
         for id in "ab":
-            bench.end(id, 0, Outcome.BROKEN_OFF)
+            bench.end(id, 0, Outcome.CONNECTION_LOST)
         bench.list([entry(n) for n in range(8)])
         bench.complete_all()
         bench.advance(101.0 - bench.now)
--- a/tests/test_told_apart.py
+++ b/tests/test_told_apart.py
@@ -7,10 +7,10 @@
 import pytest
 from harness import Account, Bench, entry
 
-from thornladder.interface import NO_REPORT, Outcome, Report
+from thornladder.interface import NO_REPORT, LoadReport, Outcome
 
 
-def played(bench: Bench, slow: str, added: float, report: Report = NO_REPORT) -> list[Account]:
+def played(bench: Bench, slow: str, added: float, report: LoadReport = NO_REPORT) -> list[Account]:
     """Two offerings, 40 invocations a second, answered in 40 ms; after 4 s `slow` ones wait longer."""
     bench.list([entry(n) for n in range(8)])
     chance, came = random.Random(3), []
@@ -59,7 +59,7 @@
 ) -> None:
     """All are late alike. Without a word of the cores, or with full ones, it is a crowd."""
     bench = Bench(copies=False, nodes=8)
-    came = played(bench, "all", 0.13, Report(busy=busy))
+    came = played(bench, "all", 0.13, LoadReport(cpu_utilization=busy))
     assert least <= refused(came, "pay") <= most
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -273,7 +273,7 @@
     it.warm_from(told.starts, 105.0)
     known = {"generation": 1, "reset": True, "instances": [listed(number, 1) for number in range(4)]}
     laid = it.lay(decode_list(known), 105.0)
-    assert laid.kind is ListKind.WHOLE
+    assert laid.kind is ListKind.SNAPSHOT
     assert [each.started_at for each in laid.entries] == [100.0, None, None, None]  # s1 is yet to come
     assert laid.entries[2].state is State.DRAINING
 
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -63,8 +63,8 @@
     bench.list([entry(n, State.RUNNING) for n in range(6)])
     bench.come("a", "mark")
     bench.advance(0.1)
-    bench.end("a", 0, Outcome.BROKEN_OFF)
+    bench.end("a", 0, Outcome.CONNECTION_LOST)
     assert by[0] == float("inf") and 0.0 < by[1] <= 0.4 - 0.1
     bench.come("b", "look")
-    bench.end("b", 0, Outcome.BROKEN_OFF)
+    bench.end("b", 0, Outcome.CONNECTION_LOST)
     assert by[2:] == [float("inf")] * 2
--- a/thornladder/adapter/__main__.py
+++ b/thornladder/adapter/__main__.py
@@ -21,18 +21,18 @@
         self.tag = f',"I":{json.dumps(name)}'
         self.reply = reply
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         self.reply.append(
-            f'{{"kind":"HAND_OFF"{self.tag},"Id":"{invocation}","GiveUpAfter":{wire.micros(time_out)},'
+            f'{{"kind":"HAND_OFF"{self.tag},"Id":"{invocation}","GiveUpAfter":{wire.micros(timeout)},'
             f'"Backend":{json.dumps(backend)}}}'
         )
 
     def cancel(self, invocation: str, number: int) -> None:
         self.reply.append(f'{{"kind":"STOP_ATTEMPT"{self.tag},"Id":"{invocation}","Try":{number}}}')
 
-    def nack(self, invocation: str, come_back: float) -> None:
+    def nack(self, invocation: str, retry_after: float) -> None:
         self.reply.append(
-            f'{{"kind":"DECLINE"{self.tag},"Id":"{invocation}","CoolDown":{wire.micros(come_back)}}}'
+            f'{{"kind":"DECLINE"{self.tag},"Id":"{invocation}","CoolDown":{wire.micros(retry_after)}}}'
         )
 
     def terminate(self, invocation: str) -> None:
--- a/thornladder/adapter/wire.py
+++ b/thornladder/adapter/wire.py
@@ -9,18 +9,18 @@
 
 OUTCOMES = {
     "OK": api.Outcome.COMPLETED,
-    "INTERNAL": api.Outcome.ERRED,
-    "RESOURCE_EXHAUSTED": api.Outcome.FULL,
+    "INTERNAL": api.Outcome.ERROR,
+    "RESOURCE_EXHAUSTED": api.Outcome.REJECTED,
     "DEADLINE_EXCEEDED": api.Outcome.TIMED_OUT,
     "UNAVAILABLE": api.Outcome.UNREACHABLE,
-    "ABORTED": api.Outcome.BROKEN_OFF,
+    "ABORTED": api.Outcome.CONNECTION_LOST,
     "CANCELLED": api.Outcome.CANCELLED,
     "TOO_LATE": api.Outcome.NOT_SENT,
 }
 STATES = {"Running": api.State.RUNNING, "Stopping": api.State.DRAINING, "Deleted": api.State.GONE}
 SCOPES = {
-    "update": api.ListKind.CHANGES,
-    "replace": api.ListKind.WHOLE,
+    "update": api.ListKind.DELTA,
+    "replace": api.ListKind.SNAPSHOT,
     "restored": api.ListKind.RESTORED,
     "unavailable": api.ListKind.UNAVAILABLE,
 }
@@ -60,5 +60,5 @@
         tenant=tenant,
         time_left=seconds(message, "Grace"),
         key=optional(message, "Resource", int),
-        again=bool(flags & AGAIN),
+        is_retry=bool(flags & AGAIN),
     )
--- a/thornladder/budget.py
+++ b/thornladder/budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thornladder.interface import FurtherRule
+from thornladder.interface import RetryBudgetRule
 
 
 class Recent:
@@ -35,17 +35,17 @@
 
     SLICES = 64  # of the span: at an even rate a sixty-fourth of the share is not used
 
-    def __init__(self, rule: FurtherRule) -> None:
-        self.rule, micros = rule, max(round(rule.span * 1e6), 1)
+    def __init__(self, rule: RetryBudgetRule) -> None:
+        self.rule, micros = rule, max(round(rule.window * 1e6), 1)
         width = -(-micros // self.SLICES)
         self.taken, self.further = Recent(width, micros // width), Recent(width, self.SLICES + 1)
 
     def allows(self, now: float) -> bool:
-        return self.further.read(now) + 1 <= self.rule.few + self.rule.share * self.taken.read(now)
+        return self.further.read(now) + 1 <= self.rule.floor + self.rule.ratio * self.taken.read(now)
 
-    def under(self, rule: FurtherRule, now: float) -> Budget:
+    def under(self, rule: RetryBudgetRule, now: float) -> Budget:
         """The budget by this rule from now on. With another span what counts still was pushed just now."""
-        if rule.span == self.rule.span:
+        if rule.window == self.rule.window:
             self.rule = rule
             return self
         new = Budget(rule)
--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -13,7 +13,7 @@
 
 from thornladder import interface as api
 from thornladder.budget import Budget
-from thornladder.interface import Entry, Host, Invocation, Kind, ListKind, Offering, Outcome, State
+from thornladder.interface import Entry, Host, Idempotency, Invocation, ListKind, Offering, Outcome, State
 
 
 class Fading:
@@ -102,7 +102,7 @@
                 self._running(entry, now)
             elif entry.backend in self.known:
                 self.leave(self.known[entry.backend], now, entry.state is State.DRAINING)
-        for backend in self.known.values() if kind is not ListKind.CHANGES else ():
+        for backend in self.known.values() if kind is not ListKind.DELTA else ():
             if backend.id not in seen:
                 self.leave(backend, now)
         self.baseline = True
@@ -388,13 +388,13 @@
         others += (view.others - others) * exp((view.told - now) / self.TRUST)
         return (view.work + (others + 1.0) * cost) / (usual + 1.0)
 
-    def reported(self, backend: Backend, report: api.Report, now: float) -> None:
+    def reported(self, backend: Backend, report: api.LoadReport, now: float) -> None:
         """Take in a load report. Guards against pushes that it takes to find out what a report tells."""
-        view, held, rate = self.view(backend), report.held, report.rate
+        view, held, rate = self.view(backend), report.in_flight, report.completion_rate
         if held is None:
             return
         view.others, view.told = max(held - len(view.open), 0.0), now
-        errors = report.errors or 0.0
+        errors = report.error_rate or 0.0
         ends = errors + ((held + 1.0) / self.SILENCE if rate is None else rate)
         erring = errors > 1.0 and errors > self.TOO_MANY_ERRORS * ends
         stuck = held >= 4.0 and rate is not None and held > self.STUCK * rate  # by Little's law
@@ -442,7 +442,7 @@
             return ""  # it ended while its body was on its way: what that took is its client's doing
         # Guards against backends that answer, and are short of connections, taken for dead.
         short = outcome is Outcome.UNREACHABLE and not view.signs and now - view.answered < self.LIVELY
-        if outcome in (Outcome.COMPLETED, Outcome.ERRED, Outcome.FULL):
+        if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.REJECTED):
             view.answered = now
         if outcome is Outcome.COMPLETED:
             self.took.add(took, now)
@@ -461,13 +461,13 @@
                 self.units[offering.name].add(took / slowness, now)
             if view.cause == "hung" or trial:
                 return self._readmit(push.backend, view)
-        elif outcome is Outcome.FULL or short:
-            view.fulls += 1 if outcome is Outcome.FULL else self.ROW
+        elif outcome is Outcome.REJECTED or short:
+            view.fulls += 1 if outcome is Outcome.REJECTED else self.ROW
             view.pace.took.add(took, now)
             # Guards against half a fleet held back because each turns some away at random: only a row counts.
             held = 0.05 * (2.0 ** min(max(view.fulls - self.ROW, 0), 4) - 1.0)
             view.full_until = now + held * (0.5 + self.chance.random())
-        elif outcome in (Outcome.BROKEN_OFF, Outcome.UNREACHABLE):
+        elif outcome in (Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
             # Guards against sound ones kept out for single breaks: what broke together speaks of the process.
             together = outcome is Outcome.UNREACHABLE or push.sent <= view.sign_at
             view.refused |= outcome is Outcome.UNREACHABLE
@@ -477,9 +477,9 @@
         elif outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and push.overtaken < self.LOST:
             # What was given up on says at least this much about how long the backend takes.
             self._learn(push, took, min(push.ahead + push.cost, took), now)
-        if outcome in (Outcome.ERRED, Outcome.BROKEN_OFF):
+        if outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
             for of in (view, self):
-                (of.erred if outcome is Outcome.ERRED else of.broke).add(1.0, now)
+                (of.erred if outcome is Outcome.ERROR else of.broke).add(1.0, now)
             many = sum(self._shares(view, now)) > self.TOO_MANY_ERRORS
             if many and view.erred.sum + view.broke.sum >= 2.5:
                 self._eject(push.backend, view, "erring", now)
@@ -561,10 +561,10 @@
         self.borne = Mean(30.0)  # pushes out for each backend while few are late
         self.mean_out = self.out_at = self.cut_at = self.ended_at = 0.0
 
-    def settle(self, given: api.Given) -> None:
+    def settle(self, given: api.DecisionSettings) -> None:
         self.rates = {tenant.name: tenant.allowance / given.nodes for tenant in given.tenants}
         self.over_share, self.by_work = given.over_share_worth, given.utility_by_work
-        self.uneven, self.first = given.limits.asks > 0.0, self.FIRST_ROOM
+        self.uneven, self.first = given.limits.probes_per_invocation > 0.0, self.FIRST_ROOM
         self.late = self.SOON if self.uneven else self.LATE
         self.worst_offering = given.worst_offering if self.uneven else 0.0
         self.utilities = {offering.name: offering.utility for offering in given.offerings}
@@ -591,8 +591,8 @@
     def rank(self, live: Live) -> float:
         """How much an invocation is worth for the work it makes, as a share of the most there is."""
         part = self.over_share if live.over_share else 1.0
-        if live.inv.again:
-            part *= live.offering.late_share  # the first try's target time has most likely passed
+        if live.inv.is_retry:
+            part *= live.offering.late_utility_share  # the first try's target time has most likely passed
         return self.standing(live.offering, live.cost, part)
 
     def standing(self, offering: Offering, cost: float, part: float = 1.0) -> float:
@@ -619,7 +619,7 @@
         rate = self.rates.get(live.inv.tenant)
         # Guards against memory that grows with what clients call themselves: only known ones are kept.
         live.kind = live.offering.name, "" if rate is None else live.inv.tenant
-        if rate is None or live.inv.again:
+        if rate is None or live.inv.is_retry:
             return
         # Guards against a trickle whose every invocation counts as over share: a second of it is under one.
         most = max(rate, self.SAVED)
@@ -684,14 +684,14 @@
     """How often an invocation may be pushed again."""
 
     # Where none is stated: a dead backend's share of a second or so, and the field's usual share.
-    BUDGET = api.FurtherRule(few=10.0, share=0.2, span=10.0)
+    BUDGET = api.RetryBudgetRule(floor=10.0, ratio=0.2, window=10.0)
 
     max_pushes, top = 1, 1.0
 
     def allows(self, live: Live) -> bool:
         """The least utility gets one further push, the most all that is permitted, one that flows none."""
         most = 2 + round((self.max_pushes - 2) * min(live.offering.utility / self.top, 1.0))
-        return not live.inv.flows and len(live.pushes) < most
+        return not live.inv.streaming and len(live.pushes) < most
 
 
 class Live:
@@ -713,9 +713,13 @@
     @property
     def until(self) -> float:
         """When a further attempt has to have begun: a keyed one within the window, once it may have run."""
-        if self.offering.kind is Kind.REPEATABLE or not self.may_have_run:
+        if self.offering.idempotency is Idempotency.REPEATABLE or not self.may_have_run:
             return inf
-        return -inf if self.offering.kind is Kind.ONCE_ONLY else self.first.sent + self.offering.window
+        return (
+            -inf
+            if self.offering.idempotency is Idempotency.ONCE_ONLY
+            else self.first.sent + self.offering.dedup_window
+        )
 
 
 class Node:
@@ -744,12 +748,12 @@
 
     def on_settings(self, now: float, **settings: object) -> None:
         """From now on these hold. What was learned stays; what is in hand keeps the offering it came with."""
-        given = api.Given(**settings)
+        given = api.DecisionSettings(**settings)
         self.zone, self.part.rank, self.nodes = given.zone, given.rank, given.nodes
         self.limits, self.cold, self.must_ask_in = given.limits, given.cold, given.must_ask_in or inf
         self.offerings = {offering.name: offering for offering in given.offerings}
-        self.ramp = self.roster.ramp = Ramp(self.cold.warm_up, self.cold.share)
-        self.budget = self.budget.under(self.limits.further or Retries.BUDGET, now)
+        self.ramp = self.roster.ramp = Ramp(self.cold.warm_up, self.cold.initial_capacity)
+        self.budget = self.budget.under(self.limits.retry_budget or Retries.BUDGET, now)
         self.roster.soft = self.limits.soft_removal
         self.admission.settle(given)
         self.retries.max_pushes, self.retries.top = self.limits.max_pushes, self.admission.top
@@ -811,21 +815,23 @@
 
     def on_push_ended(
         self, now: float, id: str, number: int, outcome: Outcome, took: float, last: bool,
-        report: api.Report = api.NO_REPORT,
+        report: api.LoadReport = api.NO_REPORT,
     ) -> None:  # fmt: skip
         live = self.live.get(id)
         if live is None or number >= len(live.pushes) or live.pushes[number].outcome is not None:
             return
         push, view = live.pushes[number], self.health.view(live.pushes[number].backend)
         push.outcome = outcome
-        if report.busy is not None:
-            self.health.busy.add(report.busy, now)
-            view.busy, view.busy_at = report.busy, now
+        if report.cpu_utilization is not None:
+            self.health.busy.add(report.cpu_utilization, now)
+            view.busy, view.busy_at = report.cpu_utilization, now
         live.open -= 1
         if outcome is Outcome.NOT_SENT and number:
             self.budget.further.add(-1, push.sent, now)
         timed_out = outcome is Outcome.TIMED_OUT
-        tells_not = self.limits.asks and view.cause or timed_out and push.overtaken >= Health.LOST
+        tells_not = (
+            self.limits.probes_per_invocation and view.cause or timed_out and push.overtaken >= Health.LOST
+        )
         if (outcome is Outcome.COMPLETED or timed_out) and not (tells_not or self.health.drag(live, now)):
             in_time = push.cost + self.admission.late * live.offering.target_time
             late = (timed_out or took > in_time) and not self.health.idle(now)
@@ -860,7 +866,7 @@
                 view.work = view.work - push.cost if view.open else 0.0
             self._count_off(push, now)
 
-    def on_probe_ended(self, now: float, id: str, outcome: Outcome, report: api.Report) -> None:
+    def on_probe_ended(self, now: float, id: str, outcome: Outcome, report: api.LoadReport) -> None:
         backend = self.roster.known.get(id)
         if backend is not None:
             self.health.reported(backend, report, now)
@@ -883,11 +889,11 @@
         # What has drained since a node went blind is not known to it, and deemed told.
         if live.answered or not backend.usable or now >= min(live.cut_off - self.LAST_MOMENT, self.blind_at):
             return False
-        most = 1 if live.inv.flows else self.limits.max_pushes  # what was let go is not there any more
-        twice = live.open and not self.limits.second_copies
+        most = 1 if live.inv.streaming else self.limits.max_pushes  # what was let go is not there any more
+        twice = live.open and not self.limits.hedging
         if live.pushes and (twice or len(live.pushes) >= most or not self.budget.allows(now)):
             return False
-        group, until = live.offering.group, live.until
+        group, until = live.offering.dedup_scope, live.until
         elsewhere = until < inf and backend.group(group) != live.first.backend.group(group)
         if now >= until - self.LAST_MOMENT or elsewhere:
             return False
@@ -895,7 +901,7 @@
 
     def may_nack(self, live: Live) -> bool:
         """Whether a nack, which tells the client that a repeat is harmless, would be true."""
-        anywhere = live.offering.kind is Kind.TAGGED and live.offering.group == "all"
+        anywhere = live.offering.idempotency is Idempotency.TAGGED and live.offering.dedup_scope == "all"
         return not live.answered and (anywhere or live.until == inf)
 
     def _cold_rate(self, backend: Backend, now: float) -> float:
@@ -906,21 +912,24 @@
         # quarters at most: many nodes' chances, of mean M, spread by root of M, and from 0.75 N it is four of
         # these or more, whatever N is, to N + 2 root of N + 2, which is borne.
         half = 0.5 * self.ramp.ratio(backend, now)
-        return min(half, 0.75 * max(half, self.ramp.floor)) * self.cold.multiple * size / self.nodes
+        return min(half, 0.75 * max(half, self.ramp.floor)) * self.cold.overload_multiple * size / self.nodes
 
     def _cold_budget_left(self, backend: Backend, cost: float, now: float) -> bool:
         """Whether that part, over any window of the rule's length, has room for this or is yet unused."""
         sent = self.health.view(backend).cold
-        while sent and sent[0][0] <= now - self.cold.span:
+        while sent and sent[0][0] <= now - self.cold.overload_window:
             sent.popleft()
         spent = sum(spent for _, spent in sent) + cost
-        return not sent or spent <= self._cold_rate(backend, now) * self.cold.span
+        return not sent or spent <= self._cold_rate(backend, now) * self.cold.overload_window
 
     def _lets(self, backend: Backend, share: float, cost: float, now: float) -> bool:
         """Guards against hundreds of first attempts to a cold backend, which this share of all that comes
         would reach otherwise: a part too small for one goes by chance."""
-        part, often = self._cold_rate(backend, now), max(self._rate(now), share / self.cold.span) * share
-        return part * self.cold.span >= cost or self.chance.random() * cost * often < part
+        part, often = (
+            self._cold_rate(backend, now),
+            max(self._rate(now), share / self.cold.overload_window) * share,
+        )
+        return part * self.cold.overload_window >= cost or self.chance.random() * cost * often < part
 
     def _rate(self, now: float) -> float:
         """Invocations a second, also of a node that has only begun to count them."""
@@ -948,7 +957,7 @@
         live.moving = False
         # Twice what it should take and a tenth of a second: by then most answers are in.
         live.look_at = now + 2.0 * (self.health.wait(backend, live.cost, now) + push.drag) + 0.1
-        if not live.inv.flows:
+        if not live.inv.streaming:
             view.put(live, push)
         if backend.ramp_start is not None:
             view.cold.append((now, live.cost))
@@ -976,7 +985,11 @@
 
     def _trial(self, live: Live, now: float) -> Backend | None:
         """An ejected backend whose time is up gets one repeatable invocation, or first a probe."""
-        if not self.health.ejected or live.offering.kind is not Kind.REPEATABLE or self.limits.asks:
+        if (
+            not self.health.ejected
+            or live.offering.idempotency is not Idempotency.REPEATABLE
+            or self.limits.probes_per_invocation
+        ):
             return None
         due = (seat.backend for seat in self.rotation.seats if self.health.trial_due(seat.backend, now))
         return next((backend for backend in due if self.may_push(live, backend, now)), None)
@@ -997,10 +1010,10 @@
 
     def _come_back(self, offering: Offering) -> float:
         """Long enough for a queue to move on, short enough for a late answer; spread over the clients."""
-        return min(offering.target_time * (0.25 + 0.5 * self.chance.random()), self.limits.come_back)
+        return min(offering.target_time * (0.25 + 0.5 * self.chance.random()), self.limits.max_retry_after)
 
     def _cancel_rest(self, live: Live) -> None:
-        if live.open and self.limits.cancelling:
+        if live.open and self.limits.cancellation:
             for number, push in enumerate(live.pushes):
                 if push.outcome is None:
                     self.host.cancel(live.inv.id, number)
@@ -1026,7 +1039,7 @@
         for live in list(self.live.values()):
             for push in live.pushes:
                 # Guards against a few backends that keep what they get and so fill the room for all others.
-                gone = self.limits.asks and self.health.view(push.backend).cause == "hung"
+                gone = self.limits.probes_per_invocation and self.health.view(push.backend).cause == "hung"
                 # What waits on others holds no core: its room is free once it would else have been answered.
                 most = push.ahead + push.cost if push.drag else live.offering.target_time
                 if push.counted and (gone or now - push.sent > most):
@@ -1038,14 +1051,16 @@
     def _probe(self, now: float) -> None:
         for seat in self.rotation.seats if self.limits.probes and self.health.ejected else ():
             view = self.health.view(seat.backend)
-            probed = view.cause in ("dead", "hung") or self.limits.asks
+            probed = view.cause in ("dead", "hung") or self.limits.probes_per_invocation
             if probed and self.health.trial_due(seat.backend, now):
                 view.trial = True
                 self.host.probe(seat.backend.id)
 
     def _ask_ahead(self, now: float) -> None:
         """Probe those whose turns come next and of which nothing fresh is known, as the price allows."""
-        self.asks = min(self.asks + self.limits.asks, max(2.0 * self.limits.asks, 1.0))
+        self.asks = min(
+            self.asks + self.limits.probes_per_invocation, max(2.0 * self.limits.probes_per_invocation, 1.0)
+        )
         for seat in self.rotation.seats if self.asks >= 1.0 else ():
             view = self.health.view(seat.backend)
             if view.asked is None and not view.cause and now - view.told > self.FRESH and self.asks >= 1.0:
@@ -1059,20 +1074,20 @@
         may = self.retries.allows(live) and self.budget.allows(now)
         if view.answered > push.sent and not view.cause or not may:
             return
-        if self.limits.second_copies and offering.kind is not Kind.ONCE_ONLY:
+        if self.limits.hedging and offering.idempotency is not Idempotency.ONCE_ONLY:
             backend = None if self.admission.crowded(now) else self._pick(live, now)
             if backend is not None:
                 self._push(live, backend, now)
             return
-        if self.limits.asks and not view.cause:
+        if self.limits.probes_per_invocation and not view.cause:
             # Guards against moves off sound backends, whose work goes on: a probe that stays out tells.
             if view.asked is None:
                 view.asked = now
                 self.host.probe(push.backend.id)
             if now - view.asked < Health.SILENT_PROBE:
                 return
-        anywhere = offering.kind is Kind.REPEATABLE or offering.group == "all"
-        if self.limits.cancelling and anywhere and now < live.until - 4.0 * self.SWEEP:
+        anywhere = offering.idempotency is Idempotency.REPEATABLE or offering.dedup_scope == "all"
+        if self.limits.cancellation and anywhere and now < live.until - 4.0 * self.SWEEP:
             live.moving = True
             self.host.cancel(live.inv.id, number)
 
@@ -1099,6 +1114,6 @@
     def _fair(self, rate: float, now: float) -> float:
         """How many backends are this node's: an even part, by its traffic where reports come. 0: unknown."""
         even, usual = len(self.roster.usable) / self.nodes, self.health.usual.read(now)
-        if not (self.limits.asks and usual and now > self.began):
-            return 0.0 if self.limits.asks else even
+        if not (self.limits.probes_per_invocation and usual and now > self.began):
+            return 0.0 if self.limits.probes_per_invocation else even
         return max(self._rate(now) * self.health.took.read(now) / usual, 0.25 * even)
--- a/thornladder/interface.py
+++ b/thornladder/interface.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple, Protocol
 
 
-class Kind(Enum):
+class Idempotency(Enum):
     """How an offering bears being run more than once."""
 
     REPEATABLE = "repeatable"
@@ -24,11 +24,11 @@
     """How one push ended."""
 
     COMPLETED = "completed"
-    ERRED = "erred"
-    FULL = "full"
+    ERROR = "erred"
+    REJECTED = "full"
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
-    BROKEN_OFF = "broken off"
+    CONNECTION_LOST = "broken off"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
@@ -37,7 +37,7 @@
         return self in _NEVER_RAN
 
 
-_NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.NOT_SENT})
+_NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT})
 
 
 class State(Enum):
@@ -51,8 +51,8 @@
 class ListKind(Enum):
     """What a list event carries."""
 
-    CHANGES = "changes"
-    WHOLE = "whole"
+    DELTA = "changes"
+    SNAPSHOT = "whole"
     RESTORED = "restored"
     UNAVAILABLE = "unavailable"
 
@@ -60,13 +60,13 @@
 @dataclass(frozen=True, slots=True)
 class Offering:
     name: str
-    kind: Kind
-    group: str  # who discards repeats of a tagged invocation: "all", "zone" or "cell"
-    window: float  # for how long they do
+    idempotency: Idempotency
+    dedup_scope: str  # who discards repeats of a tagged invocation: "all", "zone" or "cell"
+    dedup_window: float  # for how long they do
     target_time: float
     cut_off: float
     utility: float
-    late_share: float  # what an answer after the target time still earns
+    late_utility_share: float  # what an answer after the target time still earns
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,12 +77,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FurtherRule:
+class RetryBudgetRule:
     """How many pushes beyond an invocation's first a node may make in any `span` seconds."""
 
-    few: float  # however little comes
-    share: float  # and for each invocation taken
-    span: float  # seconds
+    floor: float  # however little comes
+    ratio: float  # and for each invocation taken
+    window: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,27 +90,29 @@
     """What the site permits a node to do."""
 
     max_pushes: int
-    second_copies: bool
-    cancelling: bool
+    hedging: bool
+    cancellation: bool
     probes: bool
-    come_back: float  # the longest come-back time that clients heed; 0 where none may be given
-    asks: float = 0.0  # probes for load reports that an invocation may cost on the mean; 0 where none come
-    further: FurtherRule | None = None  # None: not stated
+    max_retry_after: float  # the longest come-back time that clients heed; 0 where none may be given
+    probes_per_invocation: float = (
+        0.0  # probes for load reports that an invocation may cost on the mean; 0 where none come
+    )
+    retry_budget: RetryBudgetRule | None = None  # None: not stated
     soft_removal: bool = False  # only a listed drain binds: gone or off the list does not
 
 
 @dataclass(frozen=True, slots=True)
-class ColdRule:
+class SlowStartRule:
     """How much a backend that has just started bears."""
 
-    share: float
+    initial_capacity: float
     warm_up: float
-    multiple: float
-    span: float
+    overload_multiple: float
+    overload_window: float
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class DecisionSettings:
     """What the settings hand to the decisions."""
 
     zone: str
@@ -121,7 +123,7 @@
     over_share_worth: float  # what a tenant's surplus earns, as a part
     utility_by_work: bool
     limits: Limits
-    cold: ColdRule
+    cold: SlowStartRule
     must_ask_in: float  # seconds; 0 where the list is told unasked
     worst_offering: float = 0.0  # the share of the result that goes by the worst-served offering alone
 
@@ -138,16 +140,16 @@
     machine: str
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """What a probe or an answer tells of a backend's load; None is what was not told or makes no sense."""
 
-    held: float | None = None  # invocations in its hands, all nodes' together
-    errors: float | None = None  # a second
-    rate: float | None = None  # completed a second
-    busy: float | None = None  # how busy its cores are, of 1
+    in_flight: float | None = None  # invocations in its hands, all nodes' together
+    error_rate: float | None = None  # a second
+    completion_rate: float | None = None  # completed a second
+    cpu_utilization: float | None = None  # how busy its cores are, of 1
 
 
-NO_REPORT = Report()
+NO_REPORT = LoadReport()
 
 
 class Invocation(NamedTuple):
@@ -158,19 +160,21 @@
     tenant: str
     time_left: float
     key: int | None
-    again: bool  # the client says that it tries once more
-    flows: bool = False  # its body is still on its way, and is passed on as it comes: it can be pushed once
+    is_retry: bool  # the client says that it tries once more
+    streaming: bool = (
+        False  # its body is still on its way, and is passed on as it comes: it can be pushed once
+    )
 
 
 class Host(Protocol):
     """What a node may ask of its host. Nothing here answers; results come back as events."""
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         """Seconds until it is given up, and until its first byte has to be out: else it is not sent."""
 
     def cancel(self, invocation: str, number: int) -> None: ...
 
-    def nack(self, invocation: str, come_back: float) -> None: ...
+    def nack(self, invocation: str, retry_after: float) -> None: ...
 
     def terminate(self, invocation: str) -> None: ...
 
@@ -180,4 +184,4 @@
 
     def watch_list(self) -> None: ...
 
-    def log(self, words: str) -> None: ...
+    def log(self, message: str) -> None: ...
--- a/thornladder/measures/sizes.py
+++ b/thornladder/measures/sizes.py
@@ -29,10 +29,10 @@
         self.pushed: list[tuple[str, str]] = []
         self.nacked = 0
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         self.pushed.append((invocation, backend))
 
-    def nack(self, invocation: str, come_back: float) -> None:
+    def nack(self, invocation: str, retry_after: float) -> None:
         self.nacked += 1
 
     def _pass(self, *_: Any) -> None:
@@ -55,11 +55,11 @@
     host = _Host()
     tracemalloc.start()
     node = Node(host, seed=1, now=0.0, **decisions(200, False))
-    node.on_list(0.0, ListKind.WHOLE, decode_list(body).entries)
+    node.on_list(0.0, ListKind.SNAPSHOT, decode_list(body).entries)
     memory = tracemalloc.get_traced_memory()[0] / 1024.0
     tracemalloc.stop()
     began = time.perf_counter()
-    node.on_list(0.0, ListKind.WHOLE, decode_list(body).entries)
+    node.on_list(0.0, ListKind.SNAPSHOT, decode_list(body).entries)
     whole = time.perf_counter() - began
     now, spent, leaving, wrong = 0.0, 0.0, set[str](), 0
     for number in range(RATE * SPAN):
@@ -77,7 +77,7 @@
             part = [listed(f"s{each}", "terminating") for each in range(0, size, 4)]
             text = json.dumps({"generation": 3, "reset": False, "instances": part}, indent=2).encode()
             began = time.perf_counter()
-            node.on_list(now, ListKind.CHANGES, decode_list(text).entries)
+            node.on_list(now, ListKind.DELTA, decode_list(text).entries)
             drain = time.perf_counter() - began
             leaving = {line["instanceId"] for line in part}
     return Cost(whole, drain, 1e6 * spent / (RATE * SPAN), memory, wrong)
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -178,7 +178,7 @@
         answer = await call(self, wait)
         if answer is None and anyio.current_time() - began < wait + self.OVERDUE:
             self.heard, self.deaf_at, self.off_since = began, math.inf, math.inf
-            return ListAnswer(self.version, ListKind.CHANGES, [], {})
+            return ListAnswer(self.version, ListKind.DELTA, [], {})
         return answer
 
     return mock.patch.object(Watch, "_call", alive)
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from thornladder.interface import NO_REPORT, ListKind, Outcome, Report, State
+from thornladder.interface import NO_REPORT, ListKind, LoadReport, Outcome, State
 from thornladder.node import messages
 from thornladder.node.backends.pool import Pool
 from thornladder.node.exchange import Exchange
@@ -26,7 +26,7 @@
         self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: Answer | None
     ) -> None: ...
 
-    def probe_ended(self, backend: str, outcome: Outcome, report: Report) -> None: ...
+    def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None: ...
 
     def client_gone(self, exchange: Exchange) -> None: ...
 
@@ -52,8 +52,8 @@
         return Outcome.NOT_SENT
     if result.cause is Cause.SPOILT:
         # Guards against sound backends taken for dead: one that answers nonsense lives.
-        return Outcome.ERRED
-    return Outcome.BROKEN_OFF if begun else Outcome.UNREACHABLE
+        return Outcome.ERROR
+    return Outcome.CONNECTION_LOST if begun else Outcome.UNREACHABLE
 
 
 class Pushes:
@@ -93,7 +93,7 @@
         now = self.clock()
         running = {entry.backend for entry in answer.entries if entry.state is State.RUNNING}
         left = {entry.backend for entry in answer.entries} - running
-        if answer.kind is not ListKind.CHANGES:
+        if answer.kind is not ListKind.DELTA:
             left |= self.addresses.keys() - running
         for backend, address in answer.addresses.items():
             if self.addresses.get(backend, address) != address:
@@ -126,7 +126,7 @@
     ) -> None:
         sent = self.clock()
         # Nothing unforeseen keeps an end from being told: the invocation would be left without an answer.
-        outcome, answer, scope, begun = Outcome.BROKEN_OFF, None, exchange.scopes[number], False
+        outcome, answer, scope, begun = Outcome.CONNECTION_LOST, None, exchange.scopes[number], False
 
         def begin(reply: Reply) -> None:
             """A large answer is its client's from its first bytes on: there the push has ended."""
@@ -159,7 +159,7 @@
 
     async def _probe(self, backend: str) -> None:
         scope = anyio.CancelScope(deadline=anyio.current_time() + self.PROBE_TIME_OUT)
-        outcome, report = Outcome.BROKEN_OFF, NO_REPORT
+        outcome, report = Outcome.CONNECTION_LOST, NO_REPORT
         try:
             result = await self._ask(backend, self.asking, self.PROBE_TIME_OUT, scope)
             outcome = outcome_of(result)
--- a/thornladder/node/discovery/watch.py
+++ b/thornladder/node/discovery/watch.py
@@ -113,7 +113,7 @@
                 # Guards against changes that count from another list than the one that is known.
                 self.version, wait = None, 0.0
                 continue
-            if not wait or answer.entries or answer.kind is ListKind.WHOLE:
+            if not wait or answer.entries or answer.kind is ListKind.SNAPSHOT:
                 try:
                     self.tell(answer)
                 except Exception:
@@ -129,7 +129,7 @@
 
     def _astray(self, answer: ListAnswer) -> bool:
         """Whether these changes lead to a version before the one that is known."""
-        if answer.kind is ListKind.WHOLE or self.version is None:
+        if answer.kind is ListKind.SNAPSHOT or self.version is None:
             return False
         return answer.version is None or answer.version < self.version
 
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -15,7 +15,7 @@
 import anyio
 
 from thornladder import decide
-from thornladder.interface import ListKind, Outcome, Report, State
+from thornladder.interface import ListKind, LoadReport, Outcome, State
 from thornladder.node.backends.pushes import Pushes
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
@@ -100,14 +100,14 @@
 
     # The module's calls.
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
-        self.pushes.start(self.exchanges[invocation], backend, time_out, begin_in)
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
+        self.pushes.start(self.exchanges[invocation], backend, timeout, send_within)
 
     def cancel(self, invocation: str, number: int) -> None:
         self.exchanges[invocation].scopes[number].cancel()
 
-    def nack(self, invocation: str, come_back: float) -> None:
-        self._finish(self.exchanges[invocation], Answer(Ending.NACKED, come_back))
+    def nack(self, invocation: str, retry_after: float) -> None:
+        self._finish(self.exchanges[invocation], Answer(Ending.NACKED, retry_after))
 
     def terminate(self, invocation: str) -> None:
         self._finish(self.exchanges[invocation], Answer(Ending.TERMINATED))
@@ -184,7 +184,7 @@
         id = exchange.invocation.id
         self._tell_of(exchange, self.node.on_push_ended, id, number, outcome, took, exchange.over)
 
-    def probe_ended(self, backend: str, outcome: Outcome, report: Report) -> None:
+    def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
         self._tell(self.node.on_probe_ended, backend, outcome, report)
 
     def list_told(self, answer: ListAnswer | None) -> None:
--- a/thornladder/node/maintenance.py
+++ b/thornladder/node/maintenance.py
@@ -40,7 +40,7 @@
         """The same news as the node is to hear it."""
         listed = {entry.backend for entry in answer.entries}
         gone = {entry.backend for entry in answer.entries if entry.state is State.GONE}
-        if answer.kind is not ListKind.CHANGES:
+        if answer.kind is not ListKind.DELTA:
             gone |= self.entries.keys() - listed
         for entry in answer.entries:
             if entry.state is not State.GONE:
@@ -71,7 +71,7 @@
         places = {
             each.backend: self.addresses[each.backend] for each in entries if each.backend in self.addresses
         }
-        return ListAnswer(None, ListKind.CHANGES, entries, places)
+        return ListAnswer(None, ListKind.DELTA, entries, places)
 
     def warm_from(self, starts: dict[str, float], now: float) -> None:
         """Start times that another process of this node has seen, for ids whose own are older or not told."""
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -139,8 +139,8 @@
         tenant=found.get(b"x-caller", b"").decode("latin-1"),
         time_left=time_left(budget, offering),
         key=_key(query),
-        again=found.get(b"x-again") == b"1",
-        flows=flow is not None,
+        is_retry=found.get(b"x-again") == b"1",
+        streaming=flow is not None,
     )
     length = int(found[b"content-length"]) if flow is not None and b"content-length" in found else None
     return invocation, Message(request.method, request.target, _passed_on(headers), body, flow, length)
@@ -234,11 +234,11 @@
     if reply.status == 200:
         return api.Outcome.COMPLETED
     if reply.status in (503, 504) and (b"x-rejected", b"1") in reply.headers:
-        return api.Outcome.FULL
-    return api.Outcome.ERRED
+        return api.Outcome.REJECTED
+    return api.Outcome.ERROR
 
 
-def decode_report(body: bytes) -> api.Report:
+def decode_report(body: bytes) -> api.LoadReport:
     """The load report in a probe's answer; what cannot be read tells nothing and ends nothing."""
     try:
         return report(parse(body) if len(body) <= MOST_REPORT else None)
@@ -259,7 +259,7 @@
 
 
 # A node that never had a list asks for the whole one.
-NO_LIST = ListAnswer(None, api.ListKind.WHOLE, [], {})
+NO_LIST = ListAnswer(None, api.ListKind.SNAPSHOT, [], {})
 
 
 def decode_list(body: bytes | dict[str, Any]) -> ListAnswer:
@@ -267,7 +267,7 @@
     whole = take(message, "reset", bool, False)
     answer = ListAnswer(
         version=take(message, "generation", int),
-        kind=api.ListKind.WHOLE if whole else api.ListKind.CHANGES,
+        kind=api.ListKind.SNAPSHOT if whole else api.ListKind.DELTA,
         entries=[],
         addresses={},
     )
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -59,7 +59,7 @@
         transport = config.transport
         pool = Pool(sockets - clients, transport.idle_close, transport.connect_time_out, clock)
         held = Held(max(config.memory // LARGE_BODIES, 2**20))
-        reports = config.decisions["limits"].asks > 0.0
+        reports = config.decisions["limits"].probes_per_invocation > 0.0
         pushes = Pushes(
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
         )
--- a/thornladder/rig/cold.py
+++ b/thornladder/rig/cold.py
@@ -18,14 +18,14 @@
 
 from thornladder import decide
 from thornladder.interface import (
-    ColdRule,
     Entry,
+    Idempotency,
     Invocation,
-    Kind,
     Limits,
     ListKind,
     Offering,
     Outcome,
+    SlowStartRule,
     State,
 )
 
@@ -67,13 +67,13 @@
         self.alive = True
         self.node: decide.Node
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         self.fleet.sent(self, invocation, backend)
 
     def set_timer(self, delay: float, name: str) -> None:
         self.fleet.at(delay, lambda: self.alive and self.node.on_timer(self.fleet.now, name))
 
-    def nack(self, invocation: str, come_back: float) -> None:
+    def nack(self, invocation: str, retry_after: float) -> None:
         self.fleet.rejected += 1
 
     def __getattr__(self, name: str) -> Callable[..., None]:
@@ -93,7 +93,7 @@
         names = [f"b{number:03}" for number in range(ramp.backends)]
         self.warm = [Entry(name, State.RUNNING, "x", n, 1.0, None, "m") for n, name in enumerate(names)]
         self.cold = Entry("cold", State.RUNNING, "x", 0, 1.0, self.BEFORE, "m")
-        self.offering = Offering("look", Kind.REPEATABLE, "all", 0.0, 10.0 * ramp.work, 3.0, 1.0, 0.2)
+        self.offering = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 10.0 * ramp.work, 3.0, 1.0, 0.2)
         weights = [1.0 + ramp.uneven * (n / max(ramp.processes - 1, 1)) ** 4 for n in range(ramp.processes)]
         total = sum(weights)
         rate = ramp.load * ramp.backends / ramp.work
@@ -117,7 +117,7 @@
     def _start(self, number: int) -> _Host:
         ramp, host = self.ramp, _Host(self, number)
         limits = Limits(3, False, False, False, 0.5)
-        cold = ColdRule(ramp.share, ramp.warm_up, ramp.multiple, ramp.span)
+        cold = SlowStartRule(ramp.share, ramp.warm_up, ramp.multiple, ramp.span)
         pair = 2 if number < ramp.pairs else 1
         host.node = decide.Node(
             host, seed=self.chance.getrandbits(32), now=self.now, zone="x", rank=number,
@@ -163,7 +163,7 @@
             self.calls.append(self.now)
             took = self._work() / max(self.ramp.share, 0.2)
         elif self.chance.random() < self.ramp.errors:
-            outcome = Outcome.FULL
+            outcome = Outcome.REJECTED
         else:
             # One queue for each, worked through by two cores.
             work = self._work()
@@ -179,7 +179,7 @@
     def run(self) -> Fleet:
         def comes(host: _Host) -> Callable[[], None]:
             gone = [entry._replace(state=State.GONE) for entry in self.warm[: self.ramp.lost]]
-            return lambda: host.alive and host.node.on_list(self.now, ListKind.CHANGES, [self.cold, *gone])
+            return lambda: host.alive and host.node.on_list(self.now, ListKind.DELTA, [self.cold, *gone])
 
         for host in list(self.hosts):
             self.at(self.BEFORE + self.ramp.notice * self.chance.random(), comes(host))
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -19,7 +19,7 @@
 import anyio
 
 from thornladder import interface as api
-from thornladder.interface import Kind, Limits, Offering
+from thornladder.interface import Idempotency, Limits, Offering
 from thornladder.node import messages
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import Pushes
@@ -322,7 +322,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-LOOK = Offering("look", Kind.REPEATABLE, "all", 0.0, 0.4, 1.5, 1.0, 0.0)
+LOOK = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 0.4, 1.5, 1.0, 0.0)
 
 
 def decisions(nodes: int, pushed: bool) -> dict[str, Any]:
@@ -330,7 +330,9 @@
     return {
         "zone": "x", "rank": 0, "nodes": nodes, "offerings": [LOOK], "tenants": [],
         "over_share_worth": 0.1, "utility_by_work": False, "limits": Limits(3, False, True, True, 0.5),
-        "cold": api.ColdRule(share=1.0, warm_up=1.0, multiple=100.0, span=1.0),
+        "cold": api.SlowStartRule(
+            initial_capacity=1.0, warm_up=1.0, overload_multiple=100.0, overload_window=1.0
+        ),
         "must_ask_in": 0.0 if pushed else MUST_ASK,
     }  # fmt: skip
 
--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -11,7 +11,11 @@
 from thornladder import interface as api
 from thornladder.fields import Malformed, lookup, objects, parse, seconds, take
 
-KINDS = {"free": api.Kind.REPEATABLE, "guarded": api.Kind.TAGGED, "single_shot": api.Kind.ONCE_ONLY}
+KINDS = {
+    "free": api.Idempotency.REPEATABLE,
+    "guarded": api.Idempotency.TAGGED,
+    "single_shot": api.Idempotency.ONCE_ONLY,
+}
 
 BLEND = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "Availability", "Tail")
 # Whether load reports come with probes alone, and are to be asked for.
@@ -44,21 +48,21 @@
         "utility_by_work": take(info, "ValueBy", str, "request") == "work",
         "limits": api.Limits(
             max_pushes=_above_0("MaxAttempts", take(limits, "MaxAttempts", int)),
-            second_copies=take(limits, "SecondCopies", bool, False),
-            cancelling=take(limits, "Cancelling", bool, False),
+            hedging=take(limits, "SecondCopies", bool, False),
+            cancellation=take(limits, "Cancelling", bool, False),
             probes=take(limits, "Probes", bool, False),
-            come_back=seconds(limits, "MaxRetryAfter", 0.0)
+            max_retry_after=seconds(limits, "MaxRetryAfter", 0.0)
             if take(limits, "RetryAfter", bool, False)
             else 0.0,
-            asks=_asks(info, limits),
-            further=_further(rules),
+            probes_per_invocation=_asks(info, limits),
+            retry_budget=_further(rules),
             soft_removal=take(rules, "SoftRemoval", bool, False),
         ),
-        "cold": api.ColdRule(
-            share=take(rules, "ColdShare", float),
+        "cold": api.SlowStartRule(
+            initial_capacity=take(rules, "ColdShare", float),
             warm_up=seconds(rules, "WarmUp"),
-            multiple=_above_0("FallMultiple", take(rules, "FallMultiple", float)),
-            span=_above_0("Fall", seconds(rules, "Fall")),
+            overload_multiple=_above_0("FallMultiple", take(rules, "FallMultiple", float)),
+            overload_window=_above_0("Fall", seconds(rules, "Fall")),
         ),
         "worst_offering": _worst_offering(take(info, "Blend", dict, {})),
         "must_ask_in": 0.0 if list_is_told(info) else seconds(rules, "MustAskIn", 10.0),
@@ -87,7 +91,7 @@
 MOST_FEW, MOST_RATIO, LONGEST_SPAN = 1e6, 100.0, 3600.0  # beyond these a budget bounds nothing
 
 
-def _further(rules: dict[str, Any]) -> api.FurtherRule | None:
+def _further(rules: dict[str, Any]) -> api.RetryBudgetRule | None:
     """The budget of pushes beyond the first. Without either figure none is stated."""
     if rules.get("ExtraFloor") is None and rules.get("RepeatRatio") is None:
         return None
@@ -98,14 +102,14 @@
             raise Malformed(f"Rules.{name} must be from 0 to {most:g}")
     if not 0.0 < span <= LONGEST_SPAN:
         raise Malformed(f"Rules.BudgetSpan must be above 0 and at most {LONGEST_SPAN:g} s")
-    return api.FurtherRule(few, share, span)
+    return api.RetryBudgetRule(few, share, span)
 
 
-def report(told: Any) -> api.Report:
+def report(told: Any) -> api.LoadReport:
     """A load report, decoded; what is missing, unknown or makes no sense is left out and ends nothing."""
     if not isinstance(told, dict):
         return api.NO_REPORT
-    return api.Report(*(_sane(told.get(name)) for name in ("rif", "fail_rate", "rate", "busy")))
+    return api.LoadReport(*(_sane(told.get(name)) for name in ("rif", "fail_rate", "rate", "busy")))
 
 
 def _sane(value: Any) -> float | None:
@@ -180,13 +184,13 @@
 def _offering(line: dict[str, Any]) -> api.Offering:
     return api.Offering(
         name=take(line, "Name", str),
-        kind=lookup(KINDS, line, "Effect"),
-        group=take(line, "Group", str, "all"),
-        window=seconds(line, "Window", 0.0),
+        idempotency=lookup(KINDS, line, "Effect"),
+        dedup_scope=take(line, "Group", str, "all"),
+        dedup_window=seconds(line, "Window", 0.0),
         target_time=_above_0("Aim", seconds(line, "Aim")),
         cut_off=_above_0("HardLimit", seconds(line, "HardLimit")),
         utility=take(line, "Worth", float),
-        late_share=take(line, "LateWorth", float, 0.0),
+        late_utility_share=take(line, "LateWorth", float, 0.0),
     )
 
 
