--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -16,7 +16,7 @@
 from thornladder import settings
 from thornladder.budget import Budget
 from thornladder.fields import MalformedError
-from thornladder.interface import Entry, FurtherRule, ListKind, Outcome, State
+from thornladder.interface import Entry, ListKind, Outcome, RetryBudgetRule, State
 
 
 class Exact:
@@ -200,6 +200,6 @@
     info["Rules"].update({"ExtraFloor": 2, "RepeatRatio": 0.15, "BudgetSpan": 10_000_000})
     info["Rules"]["SoftRemoval"] = True
     limits = settings.policy_arguments(info)["limits"]
-    assert limits.further == FurtherRule(2.0, 0.15, 10.0) and limits.soft_removal
+    assert limits.retry_budget == RetryBudgetRule(2.0, 0.15, 10.0) and limits.soft_removal
     free = settings.policy_arguments(SETTINGS)["limits"]
-    assert not free.soft_removal and free.further is None
+    assert not free.soft_removal and free.retry_budget is None
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -13,7 +13,7 @@
 
 from thornladder import decide, settings
 from thornladder.fields import MalformedError
-from thornladder.interface import NO_REPORT, ListKind, Outcome, Report, State
+from thornladder.interface import NO_REPORT, ListKind, LoadReport, Outcome, State
 from thornladder.node import messages
 
 OWN_NODE = {
@@ -118,7 +118,7 @@
             settings.parse_load_report({"rif": value, "odd": 1, "fail_rate": value, "rate": value})
             == NO_REPORT
         )
-    assert settings.parse_load_report({"rif": 3, "q": "x"}) == Report(3.0)
+    assert settings.parse_load_report({"rif": 3, "q": "x"}) == LoadReport(3.0)
     for body in (b"", b"x", b"[]", b"{" * 5000, b'{"rif":', b'{"rif":"4"}', b"\xff\xfe"):
         assert messages.decode_report(body) == NO_REPORT
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -17,7 +17,7 @@
 
 from thornladder import settings
 from thornladder.fields import MalformedError
-from thornladder.interface import Kind, Limits, Outcome
+from thornladder.interface import Idempotency, Limits, Outcome
 
 pytestmark = pytest.mark.anyio
 LOOK, PAY, BOOK = SETTINGS["Classes"]
--- a/thornladder/adapter/wire.py
+++ b/thornladder/adapter/wire.py
@@ -68,5 +68,5 @@
         tenant=tenant,
         time_left=get_seconds(message, "Grace"),
         key=get_optional(message, "Resource", int),
-        again=bool(flags & AGAIN),
+        is_retry=bool(flags & AGAIN),
     )
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -267,7 +267,7 @@
     whole = get_field(message, "reset", bool, False)
     answer = ListAnswer(
         version=get_field(message, "generation", int),
-        kind=api.ListKind.WHOLE if whole else api.ListKind.CHANGES,
+        kind=api.ListKind.SNAPSHOT if whole else api.ListKind.DELTA,
         entries=[],
         addresses={},
     )
--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -50,21 +50,21 @@
         "utility_by_work": get_field(info, "ValueBy", str, "request") == "work",
         "limits": api.Limits(
             max_pushes=_above_0("MaxAttempts", get_field(limits, "MaxAttempts", int)),
-            second_copies=get_field(limits, "SecondCopies", bool, False),
-            cancelling=get_field(limits, "Cancelling", bool, False),
+            hedging=get_field(limits, "SecondCopies", bool, False),
+            cancellation=get_field(limits, "Cancelling", bool, False),
             probes=get_field(limits, "Probes", bool, False),
-            come_back=get_seconds(limits, "MaxRetryAfter", 0.0)
+            max_retry_after=get_seconds(limits, "MaxRetryAfter", 0.0)
             if get_field(limits, "RetryAfter", bool, False)
             else 0.0,
-            asks=_asks(info, limits),
-            further=_further(rules),
+            probes_per_invocation=_asks(info, limits),
+            retry_budget=_further(rules),
             soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
-        "cold": api.ColdRule(
-            share=get_field(rules, "ColdShare", float),
+        "cold": api.SlowStartRule(
+            initial_capacity=get_field(rules, "ColdShare", float),
             warm_up=get_seconds(rules, "WarmUp"),
-            multiple=_above_0("FallMultiple", get_field(rules, "FallMultiple", float)),
-            span=_above_0("Fall", get_seconds(rules, "Fall")),
+            overload_multiple=_above_0("FallMultiple", get_field(rules, "FallMultiple", float)),
+            overload_window=_above_0("Fall", get_seconds(rules, "Fall")),
         ),
         "worst_offering": _worst_offering(get_field(info, "Blend", dict, {})),
         "must_ask_in": 0.0 if list_is_told(info) else get_seconds(rules, "MustAskIn", 10.0),
@@ -108,10 +108,10 @@
             raise MalformedError(f"Rules.{name} must be from 0 to {most:g}")
     if not 0.0 < span <= LONGEST_SPAN:
         raise MalformedError(f"Rules.BudgetSpan must be above 0 and at most {LONGEST_SPAN:g} s")
-    return api.FurtherRule(few, share, span)
+    return api.RetryBudgetRule(few, share, span)
 
 
-def parse_load_report(told: Any) -> api.Report:
+def parse_load_report(told: Any) -> api.LoadReport:
     """A load report, decoded; what is missing, unknown or makes no sense is left out and ends nothing."""
     if not isinstance(told, dict):
         return api.NO_REPORT
@@ -192,13 +192,13 @@
 def _offering(line: dict[str, Any]) -> api.Offering:
     return api.Offering(
         name=get_field(line, "Name", str),
-        kind=get_choice(KINDS, line, "Effect"),
-        group=get_field(line, "Group", str, "all"),
-        window=get_seconds(line, "Window", 0.0),
+        idempotency=get_choice(KINDS, line, "Effect"),
+        dedup_scope=get_field(line, "Group", str, "all"),
+        dedup_window=get_seconds(line, "Window", 0.0),
         target_time=_above_0("Aim", get_seconds(line, "Aim")),
         cut_off=_above_0("HardLimit", get_seconds(line, "HardLimit")),
         utility=get_field(line, "Worth", float),
-        late_share=get_field(line, "LateWorth", float, 0.0),
+        late_utility_share=get_field(line, "LateWorth", float, 0.0),
     )
 
 
