--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thornladder`: one node on sockets, as the file named by EDGE_CONFIG says."""
+"""`python -m thornladder`: runs one node with the configuration file that EDGE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 
 
 def configure_json_logging() -> None:
+    """Makes structlog write JSON lines to standard error, from level INFO on."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -34,25 +35,30 @@
 
 
 def main(companions: Sequence[Companion] = ()) -> int:
-    """Runs one node to its end; its exit code: 0 ended in order, 1 no address to be had, 2 a bad file."""
-    # Kept back until the node heeds it: it would end a program that is still starting.
+    """Runs one node until it exits and returns the exit code.
+
+    0: clean exit; 1: OS error, such as an address in use; 2: missing or malformed configuration.
+    """
+    # Blocked until the node handles it: SIGHUP would terminate a process that is still starting.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     path = os.environ.get("EDGE_CONFIG", "")
     if not path:
-        print("thornladder: EDGE_CONFIG names no file", file=sys.stderr)
+        print("thornladder: EDGE_CONFIG is not set", file=sys.stderr)
         return 2
     try:
         config = settings.load(path, os.environ)
-        known = decode_list(config.known) if config.known else NO_LIST
+        initial_list = decode_list(config.known) if config.known else NO_LIST
     except MalformedError as error:
         print(f"thornladder: {path}: {error}", file=sys.stderr)
         return 2
     configure_json_logging()
-    # What stands now stands to the end: no collection goes through it again.
+    # All objects allocated so far live until exit, so the garbage collector need not scan them again.
     gc.freeze()
     try:
         log = structlog.get_logger()
-        anyio.run(service.run, config, known, log, path, companions, backend_options={"use_uvloop": True})
+        anyio.run(
+            service.run, config, initial_list, log, path, companions, backend_options={"use_uvloop": True}
+        )
     except OSError as error:
         print(f"thornladder: {error}", file=sys.stderr)
         return 1
--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -1,4 +1,7 @@
-"""What a node is told at its start: the settings, the same on the wire and on sockets, and its own file."""
+"""Decodes a node's configuration: the policy settings and the configuration file around them.
+
+The simulator adapter and a node on sockets share the policy settings; the file belongs to one node.
+"""
 
 from __future__ import annotations
 
@@ -11,77 +14,76 @@
 from thornladder import interface as api
 from thornladder.fields import MalformedError, get_choice, get_field, get_objects, get_seconds, parse_object
 
-KINDS = {"free": api.Kind.REPEATABLE, "guarded": api.Kind.TAGGED, "single_shot": api.Kind.ONCE_ONLY}
+OFFERING_KINDS = {"free": api.Kind.REPEATABLE, "guarded": api.Kind.TAGGED, "single_shot": api.Kind.ONCE_ONLY}
 
-BLEND = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "Availability", "Tail")
-# Whether load reports come with probes alone, and are to be asked for.
+BLEND_WEIGHTS = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "Availability", "Tail")
+# Report.Source values, and whether load reports come only in answers to probes, which then have to be sent.
 REPORT_SOURCES = {"pull": True, "piggyback": False, "silent": False}
-MAX_PROBE_COST_SHARE = 0.008  # of the result: what probes for reports may cost in all, where each has a price
-MOST_REPORTED = 1e6  # of anything that a load report counts: more is no figure of one backend
-MAX_PROBES_PER_INVOCATION = (
-    3.0  # probes an invocation, however cheap: beyond a choice among three little is gained
-)
+MAX_PROBE_COST_SHARE = 0.008  # of the utility: upper bound on the cost of load-report probes, if priced
+MAX_REPORTED_VALUE = 1e6  # a larger value in a load report cannot come from a single backend
+# Applies however cheap probes are: choosing among more than three backends gains little.
+MAX_PROBES_PER_INVOCATION = 3.0
 
 Address = tuple[str, int]
-NOTHING: Mapping[str, str] = {}
+EMPTY_ENVIRONMENT: Mapping[str, str] = {}
 
 
 def policy_arguments(info: dict[str, Any]) -> dict[str, Any]:
-    """The keyword arguments of `decide.Node` that come from the settings."""
+    """Decodes the policy settings into keyword arguments of `decide.Node`. Raises MalformedError."""
     limits = get_field(info, "PolicyLimits", dict)
     rules = get_field(info, "Rules", dict)
     offerings = get_objects(info, "Classes")
     if not offerings:
         raise MalformedError("Classes must not be empty")
-    names = [get_field(line, "Name", str) for line in offerings]
-    if twice := next((name for name in names if names.count(name) > 1), None):
-        raise MalformedError(f"Classes names {twice!r} twice")
+    names = [get_field(offering, "Name", str) for offering in offerings]
+    if duplicate := next((name for name in names if names.count(name) > 1), None):
+        raise MalformedError(f"Classes has the name {duplicate!r} more than once")
     return {
         "zone": get_field(info, "Az", str, ""),
         "rank": get_field(info, "Rank", int, 0),
         "nodes": max(1, get_field(info, "ReplicasOfMe", int)),
-        "offerings": [_offering(line) for line in offerings],
-        "tenants": [_tenant(line) for line in get_objects(info, "Tenants")],
+        "offerings": [_parse_offering(offering) for offering in offerings],
+        "tenants": [_parse_tenant(tenant) for tenant in get_objects(info, "Tenants")],
         "over_share_worth": get_field(info, "OverShareWorth", float, 1.0),
         "utility_by_work": get_field(info, "ValueBy", str, "request") == "work",
         "limits": api.Limits(
-            max_pushes=_above_0("MaxAttempts", get_field(limits, "MaxAttempts", int)),
+            max_pushes=_require_positive("MaxAttempts", get_field(limits, "MaxAttempts", int)),
             second_copies=get_field(limits, "SecondCopies", bool, False),
             cancelling=get_field(limits, "Cancelling", bool, False),
             probes=get_field(limits, "Probes", bool, False),
             come_back=get_seconds(limits, "MaxRetryAfter", 0.0)
             if get_field(limits, "RetryAfter", bool, False)
             else 0.0,
-            asks=_asks(info, limits),
-            further=_further(rules),
+            asks=_probes_per_invocation(info, limits),
+            further=_retry_budget(rules),
             soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
         "cold": api.ColdRule(
             share=get_field(rules, "ColdShare", float),
             warm_up=get_seconds(rules, "WarmUp"),
-            multiple=_above_0("FallMultiple", get_field(rules, "FallMultiple", float)),
-            span=_above_0("Fall", get_seconds(rules, "Fall")),
+            multiple=_require_positive("FallMultiple", get_field(rules, "FallMultiple", float)),
+            span=_require_positive("Fall", get_seconds(rules, "Fall")),
         ),
-        "worst_offering": _worst_offering(get_field(info, "Blend", dict, {})),
-        "must_ask_in": 0.0 if list_is_told(info) else get_seconds(rules, "MustAskIn", 10.0),
+        "worst_offering": _worst_offering_weight(get_field(info, "Blend", dict, {})),
+        "must_ask_in": 0.0 if discovery_pushes_changes(info) else get_seconds(rules, "MustAskIn", 10.0),
     }
 
 
-def _worst_offering(blend: dict[str, Any]) -> float:
-    """What share of the result goes by the worst-served offering alone."""
-    parts = {name: get_field(blend, name, float, 0.0) for name in BLEND}
-    negative = next((name for name, value in parts.items() if value < 0.0), None)
+def _worst_offering_weight(blend: dict[str, Any]) -> float:
+    """The weight of the worst-served offering in the utility, from 0 to 1."""
+    weights = {name: get_field(blend, name, float, 0.0) for name in BLEND_WEIGHTS}
+    negative = next((name for name, weight in weights.items() if weight < 0.0), None)
     if negative:
         raise MalformedError(f"Blend.{negative} must not be negative")
-    return parts["WorstClass"] / (sum(parts.values()) or 1.0)
+    return weights["WorstClass"] / (sum(weights.values()) or 1.0)
 
 
-def _asks(info: dict[str, Any], limits: dict[str, Any]) -> float:
-    """Probes for load reports that an invocation may cost; none where probes bring no load."""
+def _probes_per_invocation(info: dict[str, Any], limits: dict[str, Any]) -> float:
+    """Mean number of load-report probes allowed per invocation; 0 where reports do not come with probes."""
     price = get_field(get_field(info, "Prices", dict, {}), "Probe", float, 0.0)
     if price < 0.0:
         raise MalformedError("Prices.Probe must not be negative")
-    if not reports_by_probes(info) or not get_field(limits, "Probes", bool, False):
+    if not reports_require_probes(info) or not get_field(limits, "Probes", bool, False):
         return 0.0
     return (
         min(MAX_PROBE_COST_SHARE / price, MAX_PROBES_PER_INVOCATION)
@@ -90,135 +92,142 @@
     )
 
 
-MOST_FEW, MOST_RATIO, LONGEST_SPAN = 1e6, 100.0, 3600.0  # beyond these a budget bounds nothing
+# Beyond these a retry budget limits nothing.
+MAX_EXTRA_FLOOR, MAX_REPEAT_RATIO, MAX_BUDGET_SPAN_SECONDS = 1e6, 100.0, 3600.0
 
 
-def _further(rules: dict[str, Any]) -> api.FurtherRule | None:
-    """The budget of pushes beyond the first. Without either figure none is stated."""
+def _retry_budget(rules: dict[str, Any]) -> api.FurtherRule | None:
+    """The retry budget for pushes beyond the first; None if neither ExtraFloor nor RepeatRatio is set."""
     if rules.get("ExtraFloor") is None and rules.get("RepeatRatio") is None:
         return None
-    few, share = (get_field(rules, name, float, 0.0) for name in ("ExtraFloor", "RepeatRatio"))
+    floor, ratio = (get_field(rules, name, float, 0.0) for name in ("ExtraFloor", "RepeatRatio"))
     span = get_seconds(rules, "BudgetSpan")
-    for name, value, most in (("ExtraFloor", few, MOST_FEW), ("RepeatRatio", share, MOST_RATIO)):
-        if not 0.0 <= value <= most:
-            raise MalformedError(f"Rules.{name} must be from 0 to {most:g}")
-    if not 0.0 < span <= LONGEST_SPAN:
-        raise MalformedError(f"Rules.BudgetSpan must be above 0 and at most {LONGEST_SPAN:g} s")
-    return api.FurtherRule(few, share, span)
-
-
-def parse_load_report(told: Any) -> api.Report:
-    """A load report, decoded; what is missing, unknown or makes no sense is left out and ends nothing."""
-    if not isinstance(told, dict):
+    for name, value, maximum in (
+        ("ExtraFloor", floor, MAX_EXTRA_FLOOR),
+        ("RepeatRatio", ratio, MAX_REPEAT_RATIO),
+    ):
+        if not 0.0 <= value <= maximum:
+            raise MalformedError(f"Rules.{name} must be from 0 to {maximum:g}")
+    if not 0.0 < span <= MAX_BUDGET_SPAN_SECONDS:
+        raise MalformedError(f"Rules.BudgetSpan must be above 0 and at most {MAX_BUDGET_SPAN_SECONDS:g} s")
+    return api.FurtherRule(floor, ratio, span)
+
+
+def parse_load_report(message: Any) -> api.Report:
+    """Decodes a load report. Raises nothing: missing and implausible values become None."""
+    if not isinstance(message, dict):
         return api.NO_REPORT
-    return api.Report(*(_sane(told.get(name)) for name in ("rif", "fail_rate", "rate", "busy")))
+    return api.Report(*(_reported_value(message.get(name)) for name in ("rif", "fail_rate", "rate", "busy")))
 
 
-def _sane(value: Any) -> float | None:
-    number = type(value) in (int, float) and 0 <= value < MOST_REPORTED
-    return float(value) if number else None
+def _reported_value(value: Any) -> float | None:
+    plausible = type(value) in (int, float) and 0 <= value < MAX_REPORTED_VALUE
+    return float(value) if plausible else None
 
 
-# What only deployments with a node for each client have, and where it stands in the settings. Their load
-# reports come with probes; traffic is not even, so that tenants' allowances cannot be dealt out evenly.
-OWN_NODE_ONLY = (("PolicyLimits", "Peers"), ("Blend", "Tail"), ("Blend", "BorneMisses"),
-                 ("Blend", "Availability"), ("Blend", "NinesWanted"))  # fmt: skip
-PAIRS = (("Tail", "BorneMisses"), ("Availability", "NinesWanted"))  # each needs the other to mean anything
+# Section and key of settings that only deployments with one node per client (sidecars) may have. Their load
+# reports come with probes, and their nodes get unequal traffic, so tenant allowances cannot be split evenly.
+PER_CLIENT_NODE_KEYS = (("PolicyLimits", "Peers"), ("Blend", "Tail"), ("Blend", "BorneMisses"),
+                        ("Blend", "Availability"), ("Blend", "NinesWanted"))  # fmt: skip
+# A weight in Blend, and the objective without which the weight has no meaning.
+BLEND_OBJECTIVES = (("Tail", "BorneMisses"), ("Availability", "NinesWanted"))
 
 
-def check_shape(info: dict[str, Any]) -> None:
-    """Refuse settings of which some speak of a node for each client and some of a pool of nodes."""
-    told, limits, blend = (get_field(info, name, dict, {}) for name in ("Report", "PolicyLimits", "Blend"))
-    own_node = reports_by_probes(info)
-    if own_node:
+def check_deployment_kind(info: dict[str, Any]) -> None:
+    """Raises MalformedError if settings for one node per client and for a shared pool of nodes are mixed."""
+    report, limits, blend = (get_field(info, name, dict, {}) for name in ("Report", "PolicyLimits", "Blend"))
+    node_per_client = reports_require_probes(info)
+    if node_per_client:
         if not get_field(limits, "Probes", bool, False):
             raise MalformedError("PolicyLimits.Probes must be true where Report.Source is 'pull'")
-        if "rif" not in get_field(told, "Fields", list, []):
+        if "rif" not in get_field(report, "Fields", list, []):
             raise MalformedError("Report.Fields must name 'rif' where Report.Source is 'pull'")
         if get_field(info, "Tenants", list, []):
             raise MalformedError("Tenants must be empty where Report.Source is 'pull'")
-    for part, name in () if own_node else OWN_NODE_ONLY:
-        if get_field(info, part, dict, {}).get(name):
-            raise MalformedError(f"{part}.{name} must be absent or 0 where Report.Source is not 'pull'")
-    for weight, figure in PAIRS:
-        if get_field(blend, weight, float, 0.0) > 0.0 and not get_field(blend, figure, float, 0.0) > 0.0:
-            raise MalformedError(f"Blend.{figure} must be above 0 where Blend.{weight} is")
+    for section, name in () if node_per_client else PER_CLIENT_NODE_KEYS:
+        if get_field(info, section, dict, {}).get(name):
+            raise MalformedError(f"{section}.{name} must be absent or 0 where Report.Source is not 'pull'")
+    for weight, objective in BLEND_OBJECTIVES:
+        if get_field(blend, weight, float, 0.0) > 0.0 and not get_field(blend, objective, float, 0.0) > 0.0:
+            raise MalformedError(f"Blend.{objective} must be above 0 where Blend.{weight} is")
 
 
-def reports_by_probes(info: dict[str, Any]) -> bool:
-    told = get_field(info, "Report", dict, {})
-    return "Source" in told and get_choice(REPORT_SOURCES, told, "Source")
+def reports_require_probes(info: dict[str, Any]) -> bool:
+    """Whether load reports come only in answers to probes, as in deployments with one node per client."""
+    report = get_field(info, "Report", dict, {})
+    return "Source" in report and get_choice(REPORT_SOURCES, report, "Source")
 
 
-def list_is_told(info: dict[str, Any]) -> bool:
-    """Whether changes of the list come unasked, as far as the decisions go."""
+def discovery_pushes_changes(info: dict[str, Any]) -> bool:
+    """Whether the policy gets changes of the endpoint list pushed, rather than having to ask for them."""
     return info.get("Discovery") != "on_request"
 
 
-def _above_0(name: str, value: Any) -> Any:
+def _require_positive(name: str, value: Any) -> Any:
     if not value > 0:
         raise MalformedError(f"{name} must be above 0")
     return value
 
 
-def first_missing_key(held: Any, new: Any, path: str = "") -> str | None:
-    """The first key of the file in force that the new one lacks; marks may be left out where they are false.
+def first_missing_key(current: Any, new: Any, path: str = "") -> str | None:
+    """The dotted path of the first key of the current configuration that the new one lacks, or None.
 
-    Guards against a file cut short, or put together wrongly, whose gaps would be filled with defaults.
+    Boolean keys may be omitted, which means false. Guards against a truncated or wrongly assembled file,
+    whose missing keys would silently get their defaults. Items of a list are matched by their `Name`.
     """
-    if isinstance(held, dict) and isinstance(new, dict):
-        for name, value in held.items():
+    if isinstance(current, dict) and isinstance(new, dict):
+        for name, value in current.items():
             if new.get(name) is None:
                 if value is None or isinstance(value, bool):
                     continue
                 return f"{path}{name}"
-            if found := first_missing_key(value, new[name], f"{path}{name}."):
-                return found
-    if isinstance(held, list) and isinstance(new, list):
-        known = {line.get("Name"): line for line in held if isinstance(line, dict)}
-        for line in new:
-            name = line.get("Name") if isinstance(line, dict) else None
+            if missing := first_missing_key(value, new[name], f"{path}{name}."):
+                return missing
+    if isinstance(current, list) and isinstance(new, list):
+        by_name = {item.get("Name"): item for item in current if isinstance(item, dict)}
+        for item in new:
+            name = item.get("Name") if isinstance(item, dict) else None
             if isinstance(name, str) and (
-                found := first_missing_key(known.get(name), line, f"{path}{name}.")
+                missing := first_missing_key(by_name.get(name), item, f"{path}{name}.")
             ):
-                return found
+                return missing
     return None
 
 
-def _offering(line: dict[str, Any]) -> api.Offering:
+def _parse_offering(message: dict[str, Any]) -> api.Offering:
     return api.Offering(
-        name=get_field(line, "Name", str),
-        kind=get_choice(KINDS, line, "Effect"),
-        group=get_field(line, "Group", str, "all"),
-        window=get_seconds(line, "Window", 0.0),
-        target_time=_above_0("Aim", get_seconds(line, "Aim")),
-        cut_off=_above_0("HardLimit", get_seconds(line, "HardLimit")),
-        utility=get_field(line, "Worth", float),
-        late_share=get_field(line, "LateWorth", float, 0.0),
+        name=get_field(message, "Name", str),
+        kind=get_choice(OFFERING_KINDS, message, "Effect"),
+        group=get_field(message, "Group", str, "all"),
+        window=get_seconds(message, "Window", 0.0),
+        target_time=_require_positive("Aim", get_seconds(message, "Aim")),
+        cut_off=_require_positive("HardLimit", get_seconds(message, "HardLimit")),
+        utility=get_field(message, "Worth", float),
+        late_share=get_field(message, "LateWorth", float, 0.0),
     )
 
 
-def _tenant(line: dict[str, Any]) -> api.Tenant:
+def _parse_tenant(message: dict[str, Any]) -> api.Tenant:
     return api.Tenant(
-        name=get_field(line, "Name", str),
-        share=get_field(line, "Share", float),
-        allowance=get_field(line, "AllowancePerS", float, 0.0),
+        name=get_field(message, "Name", str),
+        share=get_field(message, "Share", float),
+        allowance=get_field(message, "AllowancePerS", float, 0.0),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Transport:
-    """What the settings say of connections."""
+class ConnectionSettings:
+    """Timeouts of connections and rules for draining them. Times are in seconds."""
 
     connect_timeout: float
-    backend_idle_timeout: float  # after this a backend has closed an idle connection at the latest
+    backend_idle_timeout: float  # backends close a connection that has been idle for this long, or sooner
     drain_grace: float
-    soft_removal: bool  # only a listed drain binds
+    soft_removal: bool  # removal from the list does not stop pushes to a backend, only a listed drain does
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The node's own file, decoded."""
+    """A node's decoded configuration file. A reload logs changed fields by name, so the names are public."""
 
     name: str
     listen: Address
@@ -227,17 +236,18 @@
     cores: float
     sockets: int
     memory: int  # bytes
-    known: dict[str, Any]  # the list as it was, in discovery's form
-    decisions: dict[str, Any]
-    transport: Transport
-    list_is_told: bool
-    raw: dict[str, Any]  # the file as it came
-    admin: Address | None = None  # where operators call
-    folder: str = ""  # private, kept from one process of this node to the next, counts as memory
-    inherited: int | None = None  # the descriptor of a listening socket that this process was given
-
-
-def load(path: str, environment: Mapping[str, str] = NOTHING) -> Config:
+    known: dict[str, Any]  # initial endpoint list, in the format of discovery's answers
+    decisions: dict[str, Any]  # see `policy_arguments`
+    transport: ConnectionSettings
+    list_is_told: bool  # see `discovery_pushes_changes`
+    raw: dict[str, Any]  # the parsed JSON of the file
+    admin: Address | None = None  # where the admin API listens
+    folder: str = ""  # private, survives a restart of the node; its files count towards the memory limit
+    inherited: int | None = None  # file descriptor of a listening socket passed to this process
+
+
+def load(path: str, environment: Mapping[str, str] = EMPTY_ENVIRONMENT) -> Config:
+    """Reads and decodes a configuration file. Raises MalformedError."""
     try:
         message = parse_object(Path(path).read_bytes())
     except OSError as error:
@@ -245,12 +255,12 @@
     return decode(message, environment)
 
 
-def decode(message: dict[str, Any], environment: Mapping[str, str] = NOTHING) -> Config:
-    """What only this process is told, by its environment, goes before the file."""
+def decode(message: dict[str, Any], environment: Mapping[str, str] = EMPTY_ENVIRONMENT) -> Config:
+    """Decodes a configuration; environment variables take precedence over the file. Raises MalformedError."""
     info = get_field(message, "settings", dict)
     limits, rules = get_field(info, "PolicyLimits", dict), get_field(info, "Rules", dict)
-    given = get_field(message, "limits", dict, {})
-    check_shape(info)
+    resources = get_field(message, "limits", dict, {})
+    check_deployment_kind(info)
     try:
         seed = int(get_field(message, "seed", str), 16)
     except ValueError:
@@ -260,39 +270,42 @@
         listen=parse_address(get_field(message, "listen", str)),
         discovery=parse_address(get_field(message, "discovery", str)),
         seed=seed,
-        cores=get_field(given, "cores", float, 1.0),
-        sockets=get_field(given, "sockets", int, 1024),
-        memory=int(get_field(given, "memory_mb", float, 192.0) * 2**20),
+        cores=get_field(resources, "cores", float, 1.0),
+        sockets=get_field(resources, "sockets", int, 1024),
+        memory=int(get_field(resources, "memory_mb", float, 192.0) * 2**20),
         known=get_field(message, "known", dict, {}),
         decisions=policy_arguments(info),
-        transport=Transport(
+        transport=ConnectionSettings(
             connect_timeout=get_seconds(limits, "ConnectTimeout", 0.25),
             backend_idle_timeout=get_seconds(limits, "IdleClose", 15.0),
             drain_grace=get_seconds(rules, "DrainGrace", 1.0),
             soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
-        list_is_told=list_is_told(info),
+        list_is_told=discovery_pushes_changes(info),
         raw=message,
-        admin=_admin(environment.get("EDGE_ADMIN_ADDR") or get_field(message, "admin_addr", str, "")),
+        admin=_parse_admin_address(
+            environment.get("EDGE_ADMIN_ADDR") or get_field(message, "admin_addr", str, "")
+        ),
         folder=environment.get("TMPDIR") or tempfile.gettempdir(),
-        inherited=_inherited(environment.get("EDGE_INHERITED_FD", "")),
+        inherited=_parse_inherited_fd(environment.get("EDGE_INHERITED_FD", "")),
     )
 
 
-def _admin(text: str) -> Address | None:
+def _parse_admin_address(text: str) -> Address | None:
     try:
         return parse_address(text) if text else None
     except MalformedError as error:
         raise MalformedError(f"admin_addr: {error}") from None
 
 
-def _inherited(text: str) -> int | None:
+def _parse_inherited_fd(text: str) -> int | None:
     if text and not (text.isdecimal() and len(text) <= 6):
-        raise MalformedError(f"EDGE_INHERITED_FD: {text!r} is not a descriptor")
+        raise MalformedError(f"EDGE_INHERITED_FD: {text!r} is not a file descriptor")
     return int(text) if text else None
 
 
 def parse_address(text: str) -> Address:
+    """Splits HOST:PORT, where an IPv6 host may be in brackets. Raises MalformedError."""
     host, colon, port = text.rpartition(":")
     if not (colon and host and port.isdecimal() and 0 <= int(port) < 65536):
         raise MalformedError(f"{text!r} is not an address and port")
--- a/thornladder/toml.py
+++ b/thornladder/toml.py
@@ -1,4 +1,4 @@
-"""Files of operators in TOML, checked against a type as they are read."""
+"""Reads TOML files, validated against a type."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 T = TypeVar("T")
 
 
-def read(path: Path | str, kind: type[T]) -> T:
-    """Raises MalformedError with one line that names the field."""
+def read(path: Path | str, schema: type[T]) -> T:
+    """Decodes the file as `schema`. Raises MalformedError with a single-line message that names the field."""
     try:
-        return msgspec.toml.decode(Path(path).read_bytes(), type=kind)
+        return msgspec.toml.decode(Path(path).read_bytes(), type=schema)
     except OSError as error:
         raise MalformedError(f"cannot be read: {error.strerror}") from None
     except (msgspec.MsgspecError, ValueError) as error:
