--- a/thornladder/fields.py
+++ b/thornladder/fields.py
@@ -27,7 +27,7 @@
     except (ValueError, RecursionError) as error:
         raise MalformedError(f"not JSON: {error}") from None
     if not isinstance(message, dict):
-        raise MalformedError("the top level must be an object")
+        raise MalformedError("a message must be an object")
     return message
 
 
