--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -14,7 +14,11 @@
 from thornladder import interface as api
 from thornladder.fields import MalformedError, get_choice, get_field, get_objects, get_seconds, parse_object
 
-OFFERING_KINDS = {"free": api.Kind.REPEATABLE, "guarded": api.Kind.TAGGED, "single_shot": api.Kind.ONCE_ONLY}
+IDEMPOTENCY = {
+    "free": api.Idempotency.REPEATABLE,
+    "guarded": api.Idempotency.TAGGED,
+    "single_shot": api.Idempotency.ONCE_ONLY,
+}
 
 BLEND_WEIGHTS = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "Availability", "Tail")
 # Report.Source values, and whether load reports come only in answers to probes, which then have to be sent.
@@ -48,21 +52,21 @@
         "utility_by_work": get_field(info, "ValueBy", str, "request") == "work",
         "limits": api.Limits(
             max_pushes=_require_positive("MaxAttempts", get_field(limits, "MaxAttempts", int)),
-            second_copies=get_field(limits, "SecondCopies", bool, False),
-            cancelling=get_field(limits, "Cancelling", bool, False),
+            hedging=get_field(limits, "SecondCopies", bool, False),
+            cancellation=get_field(limits, "Cancelling", bool, False),
             probes=get_field(limits, "Probes", bool, False),
-            come_back=get_seconds(limits, "MaxRetryAfter", 0.0)
+            max_retry_after=get_seconds(limits, "MaxRetryAfter", 0.0)
             if get_field(limits, "RetryAfter", bool, False)
             else 0.0,
-            asks=_probes_per_invocation(info, limits),
-            further=_retry_budget(rules),
+            probes_per_invocation=_probes_per_invocation(info, limits),
+            retry_budget=_retry_budget(rules),
             soft_removal=get_field(rules, "SoftRemoval", bool, False),
         ),
-        "cold": api.ColdRule(
-            share=get_field(rules, "ColdShare", float),
+        "cold": api.SlowStartRule(
+            initial_capacity=get_field(rules, "ColdShare", float),
             warm_up=get_seconds(rules, "WarmUp"),
-            multiple=_require_positive("FallMultiple", get_field(rules, "FallMultiple", float)),
-            span=_require_positive("Fall", get_seconds(rules, "Fall")),
+            overload_multiple=_require_positive("FallMultiple", get_field(rules, "FallMultiple", float)),
+            overload_window=_require_positive("Fall", get_seconds(rules, "Fall")),
         ),
         "worst_offering": _worst_offering_weight(get_field(info, "Blend", dict, {})),
         "must_ask_in": 0.0 if discovery_pushes_changes(info) else get_seconds(rules, "MustAskIn", 10.0),
@@ -96,7 +100,7 @@
 MAX_EXTRA_FLOOR, MAX_REPEAT_RATIO, MAX_BUDGET_SPAN_SECONDS = 1e6, 100.0, 3600.0
 
 
-def _retry_budget(rules: dict[str, Any]) -> api.FurtherRule | None:
+def _retry_budget(rules: dict[str, Any]) -> api.RetryBudgetRule | None:
     """The retry budget for pushes beyond the first; None if neither ExtraFloor nor RepeatRatio is set."""
     if rules.get("ExtraFloor") is None and rules.get("RepeatRatio") is None:
         return None
@@ -110,14 +114,16 @@
             raise MalformedError(f"Rules.{name} must be from 0 to {maximum:g}")
     if not 0.0 < span <= MAX_BUDGET_SPAN_SECONDS:
         raise MalformedError(f"Rules.BudgetSpan must be above 0 and at most {MAX_BUDGET_SPAN_SECONDS:g} s")
-    return api.FurtherRule(floor, ratio, span)
+    return api.RetryBudgetRule(floor, ratio, span)
 
 
-def parse_load_report(message: Any) -> api.Report:
+def parse_load_report(message: Any) -> api.LoadReport:
     """Decodes a load report. Raises nothing: missing and implausible values become None."""
     if not isinstance(message, dict):
         return api.NO_REPORT
-    return api.Report(*(_reported_value(message.get(name)) for name in ("rif", "fail_rate", "rate", "busy")))
+    return api.LoadReport(
+        *(_reported_value(message.get(name)) for name in ("rif", "fail_rate", "rate", "busy"))
+    )
 
 
 def _reported_value(value: Any) -> float | None:
@@ -197,13 +203,13 @@
 def _parse_offering(message: dict[str, Any]) -> api.Offering:
     return api.Offering(
         name=get_field(message, "Name", str),
-        kind=get_choice(OFFERING_KINDS, message, "Effect"),
-        group=get_field(message, "Group", str, "all"),
-        window=get_seconds(message, "Window", 0.0),
+        idempotency=get_choice(IDEMPOTENCY, message, "Effect"),
+        dedup_scope=get_field(message, "Group", str, "all"),
+        dedup_window=get_seconds(message, "Window", 0.0),
         target_time=_require_positive("Aim", get_seconds(message, "Aim")),
         cut_off=_require_positive("HardLimit", get_seconds(message, "HardLimit")),
         utility=get_field(message, "Worth", float),
-        late_share=get_field(message, "LateWorth", float, 0.0),
+        late_utility_share=get_field(message, "LateWorth", float, 0.0),
     )
 
 
