--- a/thornladder/adapter/__init__.py
+++ b/thornladder/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decision module behind the bench's wire."""
+"""Runs instances of the decision module for a simulator, which drives them by JSON lines."""
--- a/thornladder/adapter/__main__.py
+++ b/thornladder/adapter/__main__.py
@@ -1,4 +1,8 @@
-"""`python -m thornladder.adapter`: reads batches from standard input and answers each on standard output."""
+"""`python -m thornladder.adapter`: answers the simulator's batches of events.
+
+Reads JSON lines from standard input. SYNC sets the time and opens a batch; FLUSH closes it, and the reply
+is written to standard output with NEXT as its last line.
+"""
 
 from __future__ import annotations
 
@@ -15,79 +19,82 @@
 
 
 class InstanceHost:
-    """Carries out one instance's calls by writing lines of the reply."""
+    """Host of one instance: appends each call of the decision module to the reply as a JSON line."""
 
     def __init__(self, name: str, reply: list[str]) -> None:
-        self.tag = f',"I":{json.dumps(name)}'
+        self.name_field = f',"I":{json.dumps(name)}'
         self.reply = reply
 
     def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         self.reply.append(
-            f'{{"kind":"HAND_OFF"{self.tag},"Id":"{invocation}","GiveUpAfter":{wire.micros(timeout)},'
+            f'{{"kind":"HAND_OFF"{self.name_field},"Id":"{invocation}","GiveUpAfter":{wire.to_micros(timeout)},'
             f'"Backend":{json.dumps(backend)}}}'
         )
 
     def cancel(self, invocation: str, number: int) -> None:
-        self.reply.append(f'{{"kind":"STOP_ATTEMPT"{self.tag},"Id":"{invocation}","Try":{number}}}')
+        self.reply.append(f'{{"kind":"STOP_ATTEMPT"{self.name_field},"Id":"{invocation}","Try":{number}}}')
 
     def nack(self, invocation: str, retry_after: float) -> None:
         self.reply.append(
-            f'{{"kind":"DECLINE"{self.tag},"Id":"{invocation}","CoolDown":{wire.micros(retry_after)}}}'
+            f'{{"kind":"DECLINE"{self.name_field},"Id":"{invocation}","CoolDown":{wire.to_micros(retry_after)}}}'
         )
 
     def terminate(self, invocation: str) -> None:
-        self.reply.append(f'{{"kind":"FINISH_ERROR"{self.tag},"Id":"{invocation}"}}')
+        self.reply.append(f'{{"kind":"FINISH_ERROR"{self.name_field},"Id":"{invocation}"}}')
 
     def probe(self, backend: str) -> None:
-        self.reply.append(f'{{"kind":"PING"{self.tag},"Backend":{json.dumps(backend)}}}')
+        self.reply.append(f'{{"kind":"PING"{self.name_field},"Backend":{json.dumps(backend)}}}')
 
     def set_timer(self, delay: float, name: str) -> None:
         self.reply.append(
-            f'{{"kind":"SCHEDULE"{self.tag},"Span":{wire.micros(delay)},"Nonce":{json.dumps(name)}}}'
+            f'{{"kind":"SCHEDULE"{self.name_field},"Span":{wire.to_micros(delay)},"Nonce":{json.dumps(name)}}}'
         )
 
     def watch_list(self) -> None:
-        self.reply.append(f'{{"kind":"OBSERVE"{self.tag},"Want":true}}')
+        self.reply.append(f'{{"kind":"OBSERVE"{self.name_field},"Want":true}}')
 
-    def log(self, words: str) -> None:
-        self.reply.append(f'{{"kind":"PRINT"{self.tag},"Words":{json.dumps(words)}}}')
+    def log(self, message: str) -> None:
+        self.reply.append(f'{{"kind":"PRINT"{self.name_field},"Words":{json.dumps(message)}}}')
 
 
 class Adapter:
-    """Hosts any number of instances; they share nothing but the reply being written."""
+    """Hosts any number of instances, which share only the clock and the buffered reply."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, decide.Node] = {}
         self.now = 0.0
         self.reply: list[str] = []
-        self.actions: dict[str, Callable[[decide.Node, Message], None]] = {
-            "SUBMIT": self._submit,
-            "ENDED": self._ended,
-            "BELL": self._bell,
-            "DROPPED": self._dropped,
-            "ENDPOINTS": self._endpoints,
-            "ECHO": self._echo,
-            "HEAD_RECEIVED": self._head_received,
-            "MAIL": self._mail,
+        self.handlers: dict[str, Callable[[decide.Node, Message], None]] = {
+            "SUBMIT": self._on_submit,
+            "ENDED": self._on_push_ended,
+            "BELL": self._on_timer,
+            "DROPPED": self._on_client_gone,
+            "ENDPOINTS": self._on_list,
+            "ECHO": self._on_probe_ended,
+            "HEAD_RECEIVED": self._on_response_started,
+            "MAIL": self._on_mail,
         }
 
-    def feed(self, message: Message) -> None:
-        """One event. An exception of the module ends the day as broken, with its text."""
+    def handle(self, message: Message) -> None:
+        """Handles one event. An exception in the decision module is reported to the simulator as BROKEN.
+
+        Raises MalformedError for an event that cannot be decoded.
+        """
         kind = get_field(message, "kind", str)
         name = get_field(message, "I", str)
-        broken = f'{{"kind":"BROKEN","I":{json.dumps(name)},"Words":'
+        broken_prefix = f'{{"kind":"BROKEN","I":{json.dumps(name)},"Words":'
         if kind == "CREATE":
             seed = get_field(message, "Nonce64", int)
-            given = settings.policy_arguments(get_field(message, "Info", dict))
+            policy = settings.policy_arguments(get_field(message, "Info", dict))
             try:
                 host = InstanceHost(name, self.reply)
-                self.nodes[name] = decide.Node(host, seed=seed, now=self.now, **given)
+                self.nodes[name] = decide.Node(host, seed=seed, now=self.now, **policy)
             except Exception as error:
-                self.reply.append(f"{broken}{json.dumps(repr(error))}}}")
+                self.reply.append(f"{broken_prefix}{json.dumps(repr(error))}}}")
         elif kind == "HALT":
             self.nodes.pop(name, None)
         else:
-            handler = self.actions.get(kind)
+            handler = self.handlers.get(kind)
             if handler is None:
                 raise MalformedError(f"kind has the unknown value {kind!r}")
             node = self.nodes.get(name)
@@ -98,15 +105,15 @@
             except MalformedError:
                 raise
             except Exception as error:
-                self.reply.append(f"{broken}{json.dumps(repr(error))}}}")
+                self.reply.append(f"{broken_prefix}{json.dumps(repr(error))}}}")
 
-    def _submit(self, node: decide.Node, message: Message) -> None:
-        invocation = wire.invocation(message)
+    def _on_submit(self, node: decide.Node, message: Message) -> None:
+        invocation = wire.parse_invocation(message)
         if invocation.offering not in node.offerings:
             raise MalformedError(f"Qos has the unknown value {invocation.offering!r}")
         node.on_invocation(self.now, invocation)
 
-    def _ended(self, node: decide.Node, message: Message) -> None:
+    def _on_push_ended(self, node: decide.Node, message: Message) -> None:
         node.on_push_ended(
             self.now,
             get_field(message, "Id", str),
@@ -117,28 +124,29 @@
             settings.parse_load_report(message.get("Report")),
         )
 
-    def _bell(self, node: decide.Node, message: Message) -> None:
+    def _on_timer(self, node: decide.Node, message: Message) -> None:
         node.on_timer(self.now, get_field(message, "Nonce", str))
 
-    def _dropped(self, node: decide.Node, message: Message) -> None:
+    def _on_client_gone(self, node: decide.Node, message: Message) -> None:
         node.on_client_gone(self.now, get_field(message, "Id", str))
 
-    def _endpoints(self, node: decide.Node, message: Message) -> None:
-        node.on_list(self.now, get_choice(wire.SCOPES, message, "Scope"), wire.entries(message))
+    def _on_list(self, node: decide.Node, message: Message) -> None:
+        node.on_list(self.now, get_choice(wire.LIST_KINDS, message, "Scope"), wire.parse_entries(message))
 
-    def _echo(self, node: decide.Node, message: Message) -> None:
+    def _on_probe_ended(self, node: decide.Node, message: Message) -> None:
         outcome = get_choice(wire.OUTCOMES, message, "Reason")
         report = settings.parse_load_report(message.get("Report"))
         node.on_probe_ended(self.now, get_field(message, "Backend", str), outcome, report)
 
-    def _head_received(self, node: decide.Node, message: Message) -> None:
+    def _on_response_started(self, node: decide.Node, message: Message) -> None:
         node.on_answer_started(self.now, get_field(message, "Id", str), get_field(message, "Try", int, 0))
 
-    def _mail(self, node: decide.Node, message: Message) -> None:
-        """Nodes share nothing: a message from another node is read and left."""
+    def _on_mail(self, node: decide.Node, message: Message) -> None:
+        """Ignores the message: instances do not communicate with each other."""
 
 
 def run(source: TextIO, sink: TextIO) -> None:
+    """Processes batches until the end of `source`. Raises MalformedError on malformed input."""
     adapter = Adapter()
     in_batch = False
     for line in source:
@@ -163,12 +171,13 @@
             sink.flush()
             adapter.reply.clear()
         else:
-            adapter.feed(message)
+            adapter.handle(message)
     if in_batch:
         raise MalformedError("the input ends inside a batch")
 
 
 def main() -> int:
+    """Returns the exit code: 0 at the end of input, 1 for a closed output pipe, 2 for malformed input."""
     sys.stdin.reconfigure(encoding="utf-8")
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")
     try:
--- a/thornladder/adapter/wire.py
+++ b/thornladder/adapter/wire.py
@@ -1,4 +1,4 @@
-"""The wire's words and units, turned into the interface's types. Nothing past here speaks the wire."""
+"""Decodes the simulator's messages into types of `thornladder.interface`. Times are sent in microseconds."""
 
 from __future__ import annotations
 
@@ -26,38 +26,41 @@
     "TOO_LATE": api.Outcome.NOT_SENT,
 }
 STATES = {"Running": api.State.RUNNING, "Stopping": api.State.DRAINING, "Deleted": api.State.GONE}
-SCOPES = {
+LIST_KINDS = {
     "update": api.ListKind.DELTA,
     "replace": api.ListKind.SNAPSHOT,
     "restored": api.ListKind.RESTORED,
     "unavailable": api.ListKind.UNAVAILABLE,
 }
-AGAIN = 2  # of the flags
+FLAG_REPEATED = 2  # bit of Flags: the client sends this invocation again
 
 
-def micros(span: float) -> int:
-    return round(span * MICROS_PER_SECOND)
+def to_micros(seconds: float) -> int:
+    """Converts seconds to the protocol's whole microseconds."""
+    return round(seconds * MICROS_PER_SECOND)
 
 
-def entries(message: dict[str, Any]) -> list[api.Entry]:
-    found = []
-    for line in get_objects(message, "Entries"):
-        started = get_field(line, "StartedAt", int, 0)
-        found.append(
+def parse_entries(message: dict[str, Any]) -> list[api.Entry]:
+    """Decodes the endpoint list of an ENDPOINTS message. Raises MalformedError."""
+    entries = []
+    for item in get_objects(message, "Entries"):
+        started = get_field(item, "StartedAt", int, 0)
+        entries.append(
             api.Entry(
-                backend=get_field(line, "Backend", str),
-                state=get_choice(STATES, line, "Readiness"),
-                zone=get_field(line, "Az", str, ""),
-                cell=get_field(line, "Pack", int, 0),
-                weight=get_optional(line, "Weight", float),
+                backend=get_field(item, "Backend", str),
+                state=get_choice(STATES, item, "Readiness"),
+                zone=get_field(item, "Az", str, ""),
+                cell=get_field(item, "Pack", int, 0),
+                weight=get_optional(item, "Weight", float),
                 started_at=started / MICROS_PER_SECOND if started else None,
-                machine=get_field(line, "Sku", str, ""),
+                machine=get_field(item, "Sku", str, ""),
             )
         )
-    return found
+    return entries
 
 
-def invocation(message: dict[str, Any]) -> api.Invocation:
+def parse_invocation(message: dict[str, Any]) -> api.Invocation:
+    """Decodes a SUBMIT message. Raises MalformedError."""
     flags = get_field(message, "Flags", int, 0)
     tenant = message.get("UserGroup") or ""
     if not isinstance(tenant, str):
@@ -68,5 +71,5 @@
         tenant=tenant,
         time_left=get_seconds(message, "Grace"),
         key=get_optional(message, "Resource", int),
-        is_retry=bool(flags & AGAIN),
+        is_retry=bool(flags & FLAG_REPEATED),
     )
