--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -18,7 +18,7 @@
 from thornladder.node.backends.pool import Pool
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.http1 import Failure, Line
-from thornladder.node.messages import MOST_WHOLE
+from thornladder.node.messages import MAX_BUFFERED_BYTES
 
 pytestmark = pytest.mark.anyio
 RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: close sends a reset
@@ -138,7 +138,7 @@
     gate = Gate(monkeypatch)
     async with Bank(done) as bank:
         raw = client(bank.port)
-        raw.sendall(asks("aa", "pay", length=6 * MOST_WHOLE) + b"x" * (MOST_WHOLE + 1))
+        raw.sendall(asks("aa", "pay", length=6 * MAX_BUFFERED_BYTES) + b"x" * (MAX_BUFFERED_BYTES + 1))
         await until(lambda: gate.waiting == 1)
         raw.sendall(b"x" * 20_000)
         raw.sendall(b"x" * 20_000)
--- a/tests/test_end_crossings.py
+++ b/tests/test_end_crossings.py
@@ -12,10 +12,10 @@
 from harness import READY, Client, Got, Peer, reply, until
 from test_process import connect, running_node
 
-from thornladder.node.messages import MOST_WHOLE
+from thornladder.node.messages import MAX_BUFFERED_BYTES
 
 pytestmark = pytest.mark.anyio
-LARGE = 3 * MOST_WHOLE
+LARGE = 3 * MAX_BUFFERED_BYTES
 
 
 class Gated(Peer):
@@ -72,11 +72,11 @@
 
 
 async def _large_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
-    await client.stream.send(head("a", "pay", LARGE) + b"x" * (MOST_WHOLE + 1))
+    await client.stream.send(head("a", "pay", LARGE) + b"x" * (MAX_BUFFERED_BYTES + 1))
     await until(lambda: backend.asked)
     await end()
     backend.gate.set()
-    await client.stream.send(b"x" * (LARGE - MOST_WHOLE - 1))
+    await client.stream.send(b"x" * (LARGE - MAX_BUFFERED_BYTES - 1))
     return await client.answer_to("a")
 
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -260,7 +260,7 @@
 async def test_what_is_nacked_at_its_head_is_read_to_no_more_than_the_most(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("thornladder.node.clients.connection.MOST_BODY", 200_000)
+    monkeypatch.setattr("thornladder.node.clients.connection.MAX_BODY_BYTES", 200_000)
     async with Bank() as bank:
         client = await bank.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
@@ -274,13 +274,13 @@
 
 
 async def test_a_body_without_end_is_turned_down(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("thornladder.node.clients.connection.MOST_BODY", 200_000)
+    monkeypatch.setattr("thornladder.node.clients.connection.MAX_BODY_BYTES", 200_000)
     async with Bank(lambda _: reply(200)) as bank:
         client = await bank.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
         await client.stream.send(head("a", "Transfer-Encoding: chunked") + 5 * chunk)
         assert (await client.answer_to("a")).target == "413"
-        assert not bank.backends[0].got and messages.MOST_BODY > 32 * 2**20
+        assert not bank.backends[0].got and messages.MAX_BODY_BYTES > 32 * 2**20
 
 
 async def test_memory_stays_bounded_under_many_large_bodies_both_ways(tmp_path: Path) -> None:
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -120,7 +120,7 @@
         )
     assert settings.parse_load_report({"rif": 3, "q": "x"}) == LoadReport(3.0)
     for body in (b"", b"x", b"[]", b"{" * 5000, b'{"rif":', b'{"rif":"4"}', b"\xff\xfe"):
-        assert messages.decode_report(body) == NO_REPORT
+        assert messages.decode_load_report(body) == NO_REPORT
 
 
 def test_a_backend_that_holds_and_completes_nothing_is_out_though_probes_reach_it() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,7 +16,7 @@
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.http1 import Cause, Failure, Line, Stage
-from thornladder.node.messages import MOST_BODY, MOST_WHOLE, Message, Reply
+from thornladder.node.messages import MAX_BODY_BYTES, MAX_BUFFERED_BYTES, UpstreamRequest, UpstreamResponse
 
 pytestmark = pytest.mark.anyio
 POST = b"POST /pay HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\n"
@@ -32,11 +32,17 @@
 
 async def test_an_invocation_goes_through_unchanged() -> None:
     async with Bank(done) as bank:
-        answer = await bank.ask("aa", "pay/now?key=0f&x=%20", 900, b"x" * MOST_WHOLE, X_Caller="t", Odd="1")
+        answer = await bank.ask(
+            "aa", "pay/now?key=0f&x=%20", 900, b"x" * MAX_BUFFERED_BYTES, X_Caller="t", Odd="1"
+        )
         assert (answer.target, answer.body) == ("200", b"aa done")
         assert answer.headers["content-type"] == "text/odd"
         [got] = bank.backends[0].got
-        assert (got.method, got.target, got.body) == ("POST", "/pay/now?key=0f&x=%20", b"x" * MOST_WHOLE)
+        assert (got.method, got.target, got.body) == (
+            "POST",
+            "/pay/now?key=0f&x=%20",
+            b"x" * MAX_BUFFERED_BYTES,
+        )
         assert got.headers["x-call-id"] == "aa" and got.headers["odd"] == "1"
         assert 0 < int(got.headers["x-budget-ms"]) < 900
 
@@ -165,7 +171,7 @@
     [(b"GET /look HTTP/1.1\r\nHost: a\r\n\r\n", "400"), (b"GET /odd HTTP/1.1\r\nHost: a\r\n\r\n", "404"),
      (b"GET /look HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\nX-Budget-Ms: soon\r\n\r\n", "400"),
      (b"GET * HTTP/1.1\r\nHost: a\r\n\r\n", "404"), (b"\x16\x03\x01\x02\r\n\r\n", "400"),
-     (b"POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % (MOST_BODY + 1), "413"),
+     (b"POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), "413"),
      (b"GET /look HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 70000, "431"),
      # Passed on as one invocation with another hidden in its body.
      (POST + b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"),
@@ -421,7 +427,7 @@
     stream = Giving(sends)
     line = Line(stream)
     request = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", str(size))])
-    message = Message(b"POST", b"/", [], b"x" * size)
+    message = UpstreamRequest(b"POST", b"/", [], b"x" * size)
     assert await line.ask(request, message) == Failure(stage, Cause.BROKEN)
     assert stream.sent.endswith(b"x" * size) == (stage is Stage.SENT and (size < 4096 or sends == 2))
 
@@ -436,8 +442,16 @@
     assert ends(Cause.SPOILT) == [Outcome.ERROR] * 4
     assert ends(Cause.CANCELLED) == [Outcome.NOT_SENT] * 2 + [Outcome.CANCELLED] * 2
     refusal = [(b"x-rejected", b"1")]
-    assert outcome_of(Reply(503, refusal, b"")) is outcome_of(Reply(504, refusal, b"")) is Outcome.REJECTED
-    assert outcome_of(Reply(429, refusal, b"")) is outcome_of(Reply(503, [], b"")) is Outcome.ERROR
+    assert (
+        outcome_of(UpstreamResponse(503, refusal, b""))
+        is outcome_of(UpstreamResponse(504, refusal, b""))
+        is Outcome.REJECTED
+    )
+    assert (
+        outcome_of(UpstreamResponse(429, refusal, b""))
+        is outcome_of(UpstreamResponse(503, [], b""))
+        is Outcome.ERROR
+    )
 
 
 async def test_a_kept_connection_that_breaks_under_the_write_says_nothing_of_its_process() -> None:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -18,7 +18,7 @@
 from thornladder.node.clients.front import Front
 from thornladder.node.handover import Marks, Sheet
 from thornladder.node.maintenance import Maintenance, Mark
-from thornladder.node.messages import ListAnswer
+from thornladder.node.messages import DiscoveryResponse
 
 pytestmark = pytest.mark.anyio
 
@@ -191,8 +191,8 @@
     return Entry(id, state, "x", 0, 1.0, started, "")
 
 
-def answer(*entries: Entry, kind: ListKind = ListKind.SNAPSHOT) -> ListAnswer:
-    return ListAnswer(1, kind, list(entries), {each.backend: ("127.0.0.1", 1) for each in entries})
+def answer(*entries: Entry, kind: ListKind = ListKind.SNAPSHOT) -> DiscoveryResponse:
+    return DiscoveryResponse(1, kind, list(entries), {each.backend: ("127.0.0.1", 1) for each in entries})
 
 
 def test_marks_outlast_all_that_discovery_tells() -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -7,7 +7,7 @@
 import pytest
 
 from thornladder.measures.told import PLANTED, draw, judge
-from thornladder.node.messages import Ending
+from thornladder.node.messages import FinalOutcome
 from thornladder.rig.told import Change, Reference, Schedule, Silence, play
 
 LEAVING = tuple(Change(1.6, f"s{number}", "terminating") for number in range(3))
@@ -18,7 +18,7 @@
 def test_a_drain_that_a_silent_watch_kept_back_is_known_before_it_binds() -> None:
     # calm+brink+mass: the call was given up after 6.5 s, and a quarter was pushed to for a second more.
     world = play(DAY)
-    assert world.reference.breaches() == [] and world.answers[Ending.NACKED] == 0
+    assert world.reference.breaches() == [] and world.answers[FinalOutcome.NACKED] == 0
     assert max(map(world.reference.told, range(3))) < 7.1
 
 
@@ -28,7 +28,7 @@
     # Nobody answers for as long as the play lasts: what the node does not know binds it all the same.
     world = play(replace(DAY, pushed=pushed, grace=grace, mute_new=((1.1, 99),), length=12.0))
     pushes = [at for at, _ in world.reference.pushes]
-    assert world.reference.breaches() == [] and world.answers[Ending.NACKED] > 100
+    assert world.reference.breaches() == [] and world.answers[FinalOutcome.NACKED] > 100
     assert 5.0 < max(pushes) < 1.1 + 6.0 + grace
     assert "blind: nothing is pushed until the list is answered for" in world.log.lines
 
@@ -38,14 +38,14 @@
     leaving = tuple(Change(1.6, f"s{number}", "terminating") for number in range(0, 1024, 4))
     day = replace(DAY, backends=1024, indented=True, changes=leaving, length=9.0, spoilt=((0.0, b"{"),))
     world = play(day)
-    assert world.reference.breaches() == [] and world.answers[Ending.COMPLETED] > 300
+    assert world.reference.breaches() == [] and world.answers[FinalOutcome.COMPLETED] > 300
     assert len({to for _, to in world.reference.pushes}) > 100
 
 
 def test_while_pushed_lists_are_away_nothing_new_is_known_and_service_goes_on() -> None:
     drains = tuple(Change(6.1, f"s{number}", "terminating") for number in range(3))
     world = play(Schedule(6, pushed=True, grace=0.5, changes=drains, away=((1.0, 5.9),), length=12.0))
-    assert world.reference.breaches() == [] and world.answers[Ending.NACKED] == 0
+    assert world.reference.breaches() == [] and world.answers[FinalOutcome.NACKED] == 0
 
 
 @pytest.mark.parametrize("pushed", [False, True])
@@ -148,4 +148,4 @@
     day = Schedule(7, changes=LEAVING, resets=(1.1,), turn=0.3, callers=((1.1, 5.4),), length=10.0)
     world = play(day)
     assert len(world.reference.refused) > 1
-    assert world.reference.breaches() == [] and world.answers[Ending.NACKED] == 0
+    assert world.reference.breaches() == [] and world.answers[FinalOutcome.NACKED] == 0
--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -16,7 +16,7 @@
 from thornladder.fields import MalformedError
 from thornladder.node import service
 from thornladder.node.companion import Companion
-from thornladder.node.messages import NO_LIST, decode_list
+from thornladder.node.messages import EMPTY_LIST, decode_list
 
 
 def configure_json_logging() -> None:
@@ -47,7 +47,7 @@
         return 2
     try:
         config = settings.load(path, os.environ)
-        initial_list = decode_list(config.known) if config.known else NO_LIST
+        initial_list = decode_list(config.known) if config.known else EMPTY_LIST
     except MalformedError as error:
         print(f"thornladder: {path}: {error}", file=sys.stderr)
         return 2
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -16,7 +16,7 @@
 from thornladder.interface import Invocation
 from thornladder.measures.points import Points
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending, Message
+from thornladder.node.messages import ClientResponse, FinalOutcome, UpstreamRequest
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
 from thornladder.rig.play import DRIVER, Load, Plan, Replace, Rolling
@@ -144,7 +144,7 @@
     def client_disconnected(self, exchange: Exchange) -> None: ...
 
     def start_invocation(self, exchange: Exchange) -> bool:
-        exchange.finish(Answer(Ending.COMPLETED))
+        exchange.finish(ClientResponse(FinalOutcome.COMPLETED))
         return True
 
 
@@ -153,7 +153,7 @@
     counters = Counters()
     counters.targets = {"look": 0.2}
     watched, _ = counters.between(Sink(), lambda *given: None)
-    message = Message("GET", "/look", [], b"")
+    message = UpstreamRequest("GET", "/look", [], b"")
     more = []
     for _ in range(rounds):
         took = []
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -25,7 +25,7 @@
 from thornladder.measures.points import Points
 from thornladder.node.backends.pushes import Pushes
 from thornladder.node.discovery.watch import Watch
-from thornladder.node.messages import Ending, ListAnswer
+from thornladder.node.messages import DiscoveryResponse, FinalOutcome
 from thornladder.rig.told import Change, Schedule, play
 
 KINDS = ("silent", "silent body", "silent first", "silent twice", "reset", "away", "move",
@@ -159,7 +159,7 @@
     found, answers = world.reference.breaches(), world.answers
     first = f"{found[0][1]} at {found[0][0]:.3f}, {found[0][2]:.3f} s after told" if found else ""
     return Verdict(seed, len(found), first, len(world.reference.pushes),
-                   answers[Ending.COMPLETED], answers[Ending.NACKED])  # fmt: skip
+                   answers[FinalOutcome.COMPLETED], answers[FinalOutcome.NACKED])  # fmt: skip
 
 
 def _more_patience() -> Any:
@@ -173,12 +173,12 @@
 def _odd_is_alive() -> Any:
     call = Watch._call
 
-    async def alive(self: Watch, wait: float) -> ListAnswer | None:
+    async def alive(self: Watch, wait: float) -> DiscoveryResponse | None:
         began = anyio.current_time()
         answer = await call(self, wait)
         if answer is None and anyio.current_time() - began < wait + self.OVERDUE:
             self.heard, self.deaf_at, self.off_since = began, math.inf, math.inf
-            return ListAnswer(self.version, ListKind.DELTA, [], {})
+            return DiscoveryResponse(self.version, ListKind.DELTA, [], {})
         return answer
 
     return mock.patch.object(Watch, "_call", alive)
@@ -206,7 +206,7 @@
     """As the text before the term of six seconds: a refusal or a reset in its time missed nothing."""
     call = Watch._call
 
-    async def refused(self: Watch, wait: float) -> ListAnswer | None:
+    async def refused(self: Watch, wait: float) -> DiscoveryResponse | None:
         began = anyio.current_time()
         answer = await call(self, wait)
         if answer is None and anyio.current_time() - began < wait + self.PATIENCE + 0.05:
--- a/thornladder/node/admin/calls.py
+++ b/thornladder/node/admin/calls.py
@@ -129,6 +129,6 @@
         if verdict.status == 405:
             headers.append((b"Allow", b"GET, HEAD, POST"))
         body = json.dumps(verdict.facts).encode() + b"\n"
-        head, body = messages.encode(verdict.status, headers, body, True)
+        head, body = messages.encode_response(verdict.status, headers, body, True)
         data = self.http.send(head) or b""
         return data if self.request is not None and self.request.method == b"HEAD" else data + body
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -13,7 +13,13 @@
 from thornladder.node.backends.pool import Pool
 from thornladder.node.exchange import Exchange
 from thornladder.node.http1 import Cause, Failure, Line, Stage
-from thornladder.node.messages import Answer, Ending, ListAnswer, Message, Reply
+from thornladder.node.messages import (
+    ClientResponse,
+    DiscoveryResponse,
+    FinalOutcome,
+    UpstreamRequest,
+    UpstreamResponse,
+)
 from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
@@ -23,7 +29,7 @@
     """Who hears of the ends."""
 
     def push_ended(
-        self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: Answer | None
+        self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: ClientResponse | None
     ) -> None: ...
 
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None: ...
@@ -36,9 +42,9 @@
     def blind_at(self) -> float: ...
 
 
-def outcome_of(result: Reply | Failure) -> Outcome:
+def outcome_of(result: UpstreamResponse | Failure) -> Outcome:
     """What is known of a push by how far it had come. Only what surely never ran is called so."""
-    if isinstance(result, Reply):
+    if isinstance(result, UpstreamResponse):
         return messages.outcome_of(result)
     begun = result.stage in (Stage.SENT, Stage.ANSWERING)
     if result.cause is Cause.TIME_OUT:
@@ -78,7 +84,7 @@
         self.pool, self.grace, self.held, self.tasks = pool, drain_grace, held, tasks
         self.soft = soft_removal
         self.told, self.clock, self.log = told, clock, log
-        self.asking = messages.LOAD_PROBE if reports else messages.PROBE
+        self.asking = messages.LOAD_PROBE if reports else messages.HEALTH_PROBE
         self.addresses: dict[str, Address] = {}
         self.leaving: dict[str, float] = {}  # since when each backend has been known to drain or be gone
         self.drained: set[str] = set()  # those of them that were listed as draining
@@ -88,7 +94,7 @@
         """Seconds from when a change is told until it binds, less the way to the backend."""
         return max(self.grace - self.DRAIN_MARGIN, 0.0)
 
-    def on_list(self, answer: ListAnswer) -> None:
+    def on_list(self, answer: DiscoveryResponse) -> None:
         """Where the backends are, and to which of them nothing new goes."""
         now = self.clock()
         running = {entry.backend for entry in answer.entries if entry.state is State.RUNNING}
@@ -128,13 +134,15 @@
         # Nothing unforeseen keeps an end from being told: the invocation would be left without an answer.
         outcome, answer, scope, begun = Outcome.CONNECTION_LOST, None, exchange.scopes[number], False
 
-        def begin(reply: Reply) -> None:
+        def begin(reply: UpstreamResponse) -> None:
             """A large answer is its client's from its first bytes on: there the push has ended."""
             nonlocal begun
             begun, scope.deadline = True, math.inf
             assert reply.body_pipe is not None
             reply.body_pipe.producer_scope = scope
-            self.told.push_ended(exchange, number, Outcome.COMPLETED, sent, messages.completed(reply))
+            self.told.push_ended(
+                exchange, number, Outcome.COMPLETED, sent, messages.completed_response(reply)
+            )
             if exchange.answer is None or exchange.answer.body_pipe is not reply.body_pipe:
                 reply.body_pipe.abort()  # nobody waits for it
 
@@ -142,7 +150,7 @@
             left = exchange.given if exchange.coming else time_out
             result = await self._ask(backend, exchange.message, left, scope, begin, exchange, begin_by)
             ended = outcome_of(result)
-            answer = messages.completed(result) if ended is Outcome.COMPLETED else None
+            answer = messages.completed_response(result) if ended is Outcome.COMPLETED else None
             outcome = ended
         except Exception:
             self.log.exception("a push failed")
@@ -152,7 +160,7 @@
             self.told.push_ended(exchange, number, outcome, sent, answer)
         except Exception:
             self.log.exception("a push's end could not be told")
-            exchange.finish(Answer(Ending.TERMINATED))  # nobody else will
+            exchange.finish(ClientResponse(FinalOutcome.TERMINATED))  # nobody else will
 
     def probe(self, backend: str) -> None:
         self.tasks.start("a probe", self._probe, backend)
@@ -164,16 +172,16 @@
             result = await self._ask(backend, self.asking, self.PROBE_TIME_OUT, scope)
             outcome = outcome_of(result)
             if self.asking is messages.LOAD_PROBE and outcome is Outcome.COMPLETED:
-                report = messages.decode_report(result.body)
+                report = messages.decode_load_report(result.body)
         except Exception:
             self.log.exception("a probe failed")
         self.told.probe_ended(backend, outcome, report)
 
     async def _ask(
-        self, backend: str, message: Message, time_left: float, scope: anyio.CancelScope,
-        begin: Callable[[Reply], None] | None = None, exchange: Exchange | None = None,
+        self, backend: str, message: UpstreamRequest, time_left: float, scope: anyio.CancelScope,
+        begin: Callable[[UpstreamResponse], None] | None = None, exchange: Exchange | None = None,
         begin_by: float = math.inf,
-    ) -> Reply | Failure:  # fmt: skip
+    ) -> UpstreamResponse | Failure:  # fmt: skip
         """Asks once, for a client unless `exchange` is None.
 
         The connection is closed before a time-out or a cancel is told of.
@@ -182,7 +190,7 @@
         if address is None:
             return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft else Cause.TOO_LATE)
         line: Line | Failure | None = None
-        result: Reply | Failure | None = None
+        result: UpstreamResponse | Failure | None = None
         try:
             with scope:
                 line = await self.pool.get(backend, address)
@@ -197,7 +205,7 @@
                     result = Failure(Stage.CONNECTING, Cause.TOO_LATE)
                 else:
                     request = messages.encode_push(message, time_left, address[0])
-                    most = messages.MOST_BODY if begin is not None else messages.MOST_WHOLE
+                    most = messages.MAX_BODY_BYTES if begin is not None else messages.MAX_BUFFERED_BYTES
                     result = await line.ask(request, message, most, begin, self.held)
         except Exception:
             # Nothing is foreseen here; it ends one push, which may have run, and not the node.
--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -15,7 +15,7 @@
 from thornladder.node.clients.early import EarlyShedder, ShedPolicy
 from thornladder.node.exchange import Exchange
 from thornladder.node.flow import BODY_PIPE_BYTES, BodyPipe, limit_kernel_buffers
-from thornladder.node.messages import MOST_BODY, MOST_WHOLE, Answer, BadInput
+from thornladder.node.messages import MAX_BODY_BYTES, MAX_BUFFERED_BYTES, BadRequest, ClientResponse
 from thornladder.node.streams import STREAM_CLOSED_ERRORS, BodyBudget, has_unread_data
 
 
@@ -223,7 +223,7 @@
                     self._put(nack)
                     continue
             self.http.receive_data(data)
-            if self.download is not None and len(self.http.trailing_data[0]) > MOST_WHOLE:
+            if self.download is not None and len(self.http.trailing_data[0]) > MAX_BUFFERED_BYTES:
                 return  # it sends on and on, and takes next to nothing
             self._advance()
             await self._pass_in()
@@ -339,9 +339,9 @@
                 self.body.clear()
                 self.got = 0
                 head = ahead[: len(ahead) - len(self.http.trailing_data[0])]
-                if doubt := messages.doubtful(event, head):
-                    self._turn_down(doubt.status, doubt.words)
-                elif int(dict(event.headers).get(b"content-length", b"0")) > MOST_WHOLE:
+                if doubt := messages.check_head(event, head):
+                    self._turn_down(doubt.status, doubt.message)
+                elif int(dict(event.headers).get(b"content-length", b"0")) > MAX_BUFFERED_BYTES:
                     self._flows()
             elif isinstance(event, h11.Data):
                 self._take(event.data)
@@ -361,16 +361,16 @@
     def _take(self, data: bytes) -> None:
         """A part of a body."""
         self.got += len(data)
-        if self.got > MOST_BODY and self.discarding:
+        if self.got > MAX_BODY_BYTES and self.discarding:
             self.closing, self.discarding = True, False  # it has its answer
             self.wake.set()
-        elif self.got > MOST_BODY:
+        elif self.got > MAX_BODY_BYTES:
             self._give_up_upload(413, "the body is too long")
         elif self.upload is not None:
             self.coming.append(bytes(data))
         elif not self.discarding:
             self.body += data
-            if len(self.body) > MOST_WHOLE:
+            if len(self.body) > MAX_BUFFERED_BYTES:
                 self._flows()
 
     def _flows(self) -> None:
@@ -379,8 +379,8 @@
         assert request is not None
         flow = BodyPipe()
         decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings, flow)
-        if isinstance(decoded, BadInput):
-            self._turn_down(decoded.status, decoded.words)
+        if isinstance(decoded, BadRequest):
+            self._turn_down(decoded.status, decoded.message)
             return
         limit_kernel_buffers(self.stream)
         self.upload, self.upload_over = flow, False
@@ -403,37 +403,45 @@
         if path in (messages.READY_PATH, messages.LIVE_PATH):
             away = not self.server_state.ready and path == messages.READY_PATH
             words = "ready" if not away else "leaving" if self.server_state.draining else "standby"
-            self._answer(*messages.encode_plain(503 if away else 200, words, self.server_state.closing))
+            self._answer(
+                *messages.encode_text_response(503 if away else 200, words, self.server_state.closing)
+            )
             return
         decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings)
-        if isinstance(decoded, BadInput):
-            self._answer(*messages.encode_plain(decoded.status, decoded.words, self.server_state.closing))
+        if isinstance(decoded, BadRequest):
+            self._answer(
+                *messages.encode_text_response(decoded.status, decoded.message, self.server_state.closing)
+            )
             return
         self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
         self.waited = 0.0
         if not self.server_state.handler.start_invocation(self.exchange):
             self.exchange = None
-            self._answer(*messages.encode_plain(400, "this X-Call-Id is in hand", self.server_state.closing))
+            self._answer(
+                *messages.encode_text_response(400, "this X-Call-Id is in hand", self.server_state.closing)
+            )
 
     def _turn_down(self, status: int, words: str) -> None:
         """Ends the connection with an answer, since where the next message begins is not known."""
         self.closing = True
-        self._answer(*messages.encode_plain(status, words, True))
+        self._answer(*messages.encode_text_response(status, words, True))
 
     def _left(self) -> bool:
         """Whether the client has closed, reset or half closed its connection."""
         return streams.peer_closed(self.stream)
 
-    def _deliver(self, answer: Answer) -> None:
+    def _deliver(self, answer: ClientResponse) -> None:
         self.exchange = None
         try:
-            self._answer(*messages.encode_answer(answer, self.server_state.closing), answer.body_pipe)
+            self._answer(
+                *messages.encode_client_response(answer, self.server_state.closing), answer.body_pipe
+            )
         except Exception:
             # Guards against an answer that cannot be put into words: it still has to be one, and the last.
             self.server_state.log.exception("an answer could not be put into words")
             self.request, self.closing, self.discarding = None, True, False
             try:
-                self._put(messages.LAST_RESORT)
+                self._put(messages.FALLBACK_RESPONSE)
             except Exception:
                 self.scope.cancel()  # the client sees an end, if no answer
 
@@ -464,7 +472,7 @@
 
     def _put(self, data: bytes) -> None:
         """Sends it: small ones at once, others and those behind them by the writing task."""
-        if not self.outbox and len(data) <= MOST_WHOLE and streams.try_write(self.stream, data):
+        if not self.outbox and len(data) <= MAX_BUFFERED_BYTES and streams.try_write(self.stream, data):
             self.since = self.server_state.clock()
         elif data:
             self.outbox.append(data)
--- a/thornladder/node/clients/early.py
+++ b/thornladder/node/clients/early.py
@@ -33,7 +33,7 @@
         budget = _BUDGET.search(data)
         given = messages.time_left(budget[1] if budget else None, offering)
         come_back = self.shed_policy(offering.name, given - waited, waited)
-        return None if come_back is None else messages.early_nack(come_back, closing)
+        return None if come_back is None else messages.encode_nack(come_back, closing)
 
     def _plain(self, data: bytes) -> Offering | None:
         end = data.find(b"\r\n\r\n") + 4
--- a/thornladder/node/discovery/watch.py
+++ b/thornladder/node/discovery/watch.py
@@ -12,7 +12,7 @@
 from thornladder.interface import ListKind
 from thornladder.node import http1, messages
 from thornladder.node.http1 import Cause, Connect, Failure, Line
-from thornladder.node.messages import ListAnswer, Reply
+from thornladder.node.messages import DiscoveryResponse, UpstreamResponse
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
 
@@ -38,7 +38,7 @@
         address: Address,
         version: int | None,
         tasks: Tasks,
-        tell: Callable[[ListAnswer | None], None],
+        tell: Callable[[DiscoveryResponse | None], None],
         log: Any,
         connect: Connect = http1.connect,
         pushed: bool = False,
@@ -127,16 +127,16 @@
         self.running = False
         self.tell(None)
 
-    def _astray(self, answer: ListAnswer) -> bool:
+    def _astray(self, answer: DiscoveryResponse) -> bool:
         """Whether these changes lead to a version before the one that is known."""
         if answer.kind is ListKind.SNAPSHOT or self.version is None:
             return False
         return answer.version is None or answer.version < self.version
 
-    async def _call(self, wait: float) -> ListAnswer | None:
+    async def _call(self, wait: float) -> DiscoveryResponse | None:
         """One call; a failed one closes its connection."""
-        answer: ListAnswer | None = None
-        reply: Reply | Failure | None = None
+        answer: DiscoveryResponse | None = None
+        reply: UpstreamResponse | Failure | None = None
         began = self.asked = anyio.current_time()
         with anyio.move_on_after(wait + self.PATIENCE if wait else self.FIRST) as self.scope:
             if self.line is not None and (self.at != self.address or self.line.stale()):
@@ -146,14 +146,14 @@
                 line = await self.connect(self.at, self.CONNECT)
                 self.line = line if isinstance(line, Line) else None
             if self.line is not None:
-                request = messages.encode_watch(f"{self.at[0]}:{self.at[1]}", self.version, wait)
+                request = messages.encode_list_request(f"{self.at[0]}:{self.at[1]}", self.version, wait)
                 reply = await self.line.ask(request, most=self.MOST_LIST)
-            if isinstance(reply, Reply) and reply.status == 200:
+            if isinstance(reply, UpstreamResponse) and reply.status == 200:
                 try:
                     answer = messages.decode_list(reply.body)
                 except MalformedError:
                     answer = None
-            elif isinstance(reply, Reply) and 400 <= reply.status < 500:
+            elif isinstance(reply, UpstreamResponse) and 400 <= reply.status < 500:
                 self.version = None  # it does not know the version: the next call is for the whole list
         if answer is None and self.pushed and self.at == self.address:
             self._missed(began, wait, reply)
@@ -161,12 +161,12 @@
             await self._close()
         return answer
 
-    def _missed(self, began: float, wait: float, reply: Reply | Failure | None) -> None:
+    def _missed(self, began: float, wait: float, reply: UpstreamResponse | Failure | None) -> None:
         """Reckons when what a failed call kept back counts as told, where that is at once while no watch
         stands; `reply` is None for a time-out."""
         now = anyio.current_time()
         late = now - began > wait + self.OVERDUE
-        if late and not isinstance(reply, Reply) and (wait or reply is None):
+        if late and not isinstance(reply, UpstreamResponse) and (wait or reply is None):
             # It said nothing for too long. A call that is refused, or broken off in its time, missed nothing;
             # nor is it silence when the first call waits for its turn in vain, and that is said by an answer
             # or a reset. One to which no connection came up was no watch.
@@ -185,7 +185,7 @@
             await line.close()
 
 
-def _odd(reply: Reply | Failure | None) -> bool:
+def _odd(reply: UpstreamResponse | Failure | None) -> bool:
     """Whether a call failed by what came: no news, and no sign that there is none."""
     if isinstance(reply, Failure):
         return reply.cause is Cause.SPOILT
--- a/thornladder/node/exchange.py
+++ b/thornladder/node/exchange.py
@@ -7,7 +7,7 @@
 import anyio
 
 from thornladder.interface import Invocation
-from thornladder.node.messages import Answer, Message
+from thornladder.node.messages import ClientResponse, UpstreamRequest
 
 
 class Exchange:
@@ -21,14 +21,14 @@
     def __init__(
         self,
         invocation: Invocation,
-        message: Message,
-        deliver: Callable[[Answer], None],
+        message: UpstreamRequest,
+        deliver: Callable[[ClientResponse], None],
         waited: float = 0.0,
         left: Callable[[], bool] = lambda: False,
     ) -> None:
         """`left` looks whether the client has closed its connection, read or not."""
         self.invocation, self.message = invocation, message
-        self.answer: Answer | None = None
+        self.answer: ClientResponse | None = None
         self.gone = False  # the client left before its answer
         self.scopes: list[anyio.CancelScope] = []  # of the pushes, by number
         self.waited = waited  # seconds that it lay unread
@@ -46,17 +46,17 @@
     def over(self) -> bool:
         return self.gone or self.answer is not None
 
-    def finish(self, answer: Answer) -> None:
+    def finish(self, answer: ClientResponse) -> None:
         """The first final answer goes to the client; nothing does after it."""
         if not self.over:
             self.answer = answer
             self._deliver(answer)
 
-    def also(self, look: Callable[[Answer], None]) -> None:
+    def also(self, look: Callable[[ClientResponse], None]) -> None:
         """`look` sees the final answer before it is delivered; it must not fail."""
         deliver = self._deliver
 
-        def both(answer: Answer) -> None:
+        def both(answer: ClientResponse) -> None:
             look(answer)
             deliver(answer)
 
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -20,7 +20,7 @@
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.maintenance import Maintenance, Mark
-from thornladder.node.messages import Answer, Ending, ListAnswer
+from thornladder.node.messages import ClientResponse, DiscoveryResponse, FinalOutcome
 from thornladder.node.tasks import Tasks
 
 
@@ -81,7 +81,7 @@
         self,
         pushes: Pushes,
         watch: Watch,
-        known: ListAnswer,
+        known: DiscoveryResponse,
         seed: int,
         told: bool,
         decisions: dict[str, Any],
@@ -107,10 +107,10 @@
         self.exchanges[invocation].scopes[number].cancel()
 
     def nack(self, invocation: str, retry_after: float) -> None:
-        self._finish(self.exchanges[invocation], Answer(Ending.NACKED, retry_after))
+        self._finish(self.exchanges[invocation], ClientResponse(FinalOutcome.NACKED, retry_after))
 
     def terminate(self, invocation: str) -> None:
-        self._finish(self.exchanges[invocation], Answer(Ending.TERMINATED))
+        self._finish(self.exchanges[invocation], ClientResponse(FinalOutcome.TERMINATED))
 
     def probe(self, backend: str) -> None:
         self.pushes.probe(backend)
@@ -175,7 +175,7 @@
         self._tell_of(exchange, self.node.on_client_gone, exchange.invocation.id)
 
     def push_ended(
-        self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: Answer | None
+        self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: ClientResponse | None
     ) -> None:
         exchange.out -= 1
         if answer is not None:
@@ -187,7 +187,7 @@
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
         self._tell(self.node.on_probe_ended, backend, outcome, report)
 
-    def list_told(self, answer: ListAnswer | None) -> None:
+    def list_told(self, answer: DiscoveryResponse | None) -> None:
         if answer is None:
             self.logger.warning("a call for the list failed")
             self._tell(self.node.on_list, ListKind.UNAVAILABLE, [], self._deaf_at)
@@ -262,7 +262,7 @@
                 # What it was ejected for before was another process: its answer brings it back at once.
                 self.pushes.probe(entry.backend)
 
-    def _tell_list(self, answer: ListAnswer) -> None:
+    def _tell_list(self, answer: DiscoveryResponse) -> None:
         # The module first: what drains is no longer picked, whatever becomes of its connections.
         self._tell(self.node.on_list, answer.kind, answer.entries)
         self.pushes.on_list(answer)
@@ -294,13 +294,13 @@
         """
         if not self._tell(event, *what):
             self._tell(self.node.on_lost, exchange.invocation.id)
-            self._finish(exchange, Answer(Ending.TERMINATED))
+            self._finish(exchange, ClientResponse(FinalOutcome.TERMINATED))
             exchange.cancel_pushes()
         if exchange.out == 0:
-            self._finish(exchange, Answer(Ending.TERMINATED))
+            self._finish(exchange, ClientResponse(FinalOutcome.TERMINATED))
             self.exchanges.pop(exchange.invocation.id, None)
 
-    def _finish(self, exchange: Exchange, answer: Answer) -> None:
+    def _finish(self, exchange: Exchange, answer: ClientResponse) -> None:
         """An error in a client's connection is that connection's, and not the push's whose answer it is."""
         try:
             exchange.finish(answer)
--- a/thornladder/node/http1.py
+++ b/thornladder/node/http1.py
@@ -13,7 +13,7 @@
 
 from thornladder.node import streams
 from thornladder.node.flow import BODY_PIPE_BYTES, BodyPipe, limit_kernel_buffers
-from thornladder.node.messages import MOST_WHOLE, Message, Reply
+from thornladder.node.messages import MAX_BUFFERED_BYTES, UpstreamRequest, UpstreamResponse
 from thornladder.node.streams import STREAM_CLOSED_ERRORS, BodyBudget, has_unread_data
 from thornladder.settings import Address
 
@@ -50,7 +50,11 @@
     """One answer as it comes: kept whole while it is small, passed on as it comes once it is large."""
 
     def __init__(
-        self, head_only: bool, most: int, begin: Callable[[Reply], None] | None, held: BodyBudget | None
+        self,
+        head_only: bool,
+        most: int,
+        begin: Callable[[UpstreamResponse], None] | None,
+        held: BodyBudget | None,
     ) -> None:
         self.head_only, self.most, self.begin, self.held = head_only, most, begin, held
         self.head: h11.Response | None = None
@@ -70,7 +74,7 @@
     def large(self) -> bool:
         """Whether it is known to be."""
         may = self.begin is not None and self.good and not self.head_only and self.flow is None
-        return may and max(self.length or 0, self.size) > MOST_WHOLE
+        return may and max(self.length or 0, self.size) > MAX_BUFFERED_BYTES
 
     def headed(self, head: h11.Response) -> bool:
         """Takes the head; False if what it says of the body cannot be."""
@@ -94,7 +98,9 @@
     async def take(self, data: bytes, line: Line) -> bool:
         if self.flow is not None:
             return await self.flow.send(data)
-        if self.good or self.size <= MOST_WHOLE:  # of what is no answer to pass on the beginning will do
+        if (
+            self.good or self.size <= MAX_BUFFERED_BYTES
+        ):  # of what is no answer to pass on the beginning will do
             self.parts.append(data)
         if self.large:
             await self.flows(line)
@@ -108,13 +114,17 @@
         limit_kernel_buffers(line.stream)
         assert self.head is not None and self.begin is not None
         self.flow = BodyPipe()
-        self.begin(Reply(200, list(self.head.headers), b"".join(self.parts), self.flow, self.length))
+        self.begin(
+            UpstreamResponse(200, list(self.head.headers), b"".join(self.parts), self.flow, self.length)
+        )
         self.parts.clear()
 
-    def ended(self) -> Reply:
+    def ended(self) -> UpstreamResponse:
         assert self.head is not None
         self.whole = True
-        return Reply(self.head.status_code, list(self.head.headers), b"".join(self.parts), self.flow)
+        return UpstreamResponse(
+            self.head.status_code, list(self.head.headers), b"".join(self.parts), self.flow
+        )
 
     def over(self, line: Line) -> None:
         if self.flow is not None:
@@ -148,9 +158,9 @@
         return has_unread_data(self.stream)
 
     async def ask(
-        self, request: h11.Request, message: Message | None = None, most: int = MOST_WHOLE,
-        begin: Callable[[Reply], None] | None = None, held: BodyBudget | None = None,
-    ) -> Reply | Failure:  # fmt: skip
+        self, request: h11.Request, message: UpstreamRequest | None = None, most: int = MAX_BUFFERED_BYTES,
+        begin: Callable[[UpstreamResponse], None] | None = None, held: BodyBudget | None = None,
+    ) -> UpstreamResponse | Failure:  # fmt: skip
         """Sends once and waits for the answer, of `most` bytes; whoever cancels this closes the connection.
 
         `begin` is told of a large answer that is good so far; this goes on until it has been passed on.
@@ -183,7 +193,9 @@
         finally:
             self.answer.over(self)
 
-    async def _ask_flowing(self, request: h11.Request, message: Message, flow: BodyPipe) -> Reply | Failure:
+    async def _ask_flowing(
+        self, request: h11.Request, message: UpstreamRequest, flow: BodyPipe
+    ) -> UpstreamResponse | Failure:
         """Passes a body on while it comes, and hears an answer that comes before its end."""
         limit_kernel_buffers(self.stream)
         async with anyio.create_task_group() as group:
@@ -192,7 +204,7 @@
             group.cancel_scope.cancel()
         return result
 
-    async def _pass_on(self, request: h11.Request, message: Message, flow: BodyPipe) -> None:
+    async def _pass_on(self, request: h11.Request, message: UpstreamRequest, flow: BodyPipe) -> None:
         """It surely never ran as long as its last byte, or the end of its chunks, is held back."""
         try:
             await self.stream.send((self.http.send(request) or b"") + self._part(message.body))
@@ -216,7 +228,7 @@
     def _part(self, data: bytes) -> bytes:
         return (self.http.send(h11.Data(data=data)) or b"") if data else b""
 
-    async def _answer(self) -> Reply | Failure:
+    async def _answer(self) -> UpstreamResponse | Failure:
         """Reads one answer. What cannot be read comes from a process that lives, unlike an end."""
         try:
             return await self._read()
@@ -233,7 +245,7 @@
         ended = self.http.trailing_data[1]
         return Failure(self.stage, Cause.BROKEN if ended else Cause.SPOILT)
 
-    async def _read(self) -> Reply | Failure:
+    async def _read(self) -> UpstreamResponse | Failure:
         answer, ahead = self.answer, 0
         while True:
             event = self.http.next_event()
--- a/thornladder/node/maintenance.py
+++ b/thornladder/node/maintenance.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from thornladder.interface import Entry, ListKind, State
-from thornladder.node.messages import ListAnswer
+from thornladder.node.messages import DiscoveryResponse
 from thornladder.settings import Address
 
 
@@ -36,7 +36,7 @@
     def knows(self, id: str) -> bool:
         return id in self.entries or id in self.left or (id in self.marks and self.marks[id].out)
 
-    def lay(self, answer: ListAnswer, now: float) -> ListAnswer:
+    def lay(self, answer: DiscoveryResponse, now: float) -> DiscoveryResponse:
         """The same news as the node is to hear it."""
         listed = {entry.backend for entry in answer.entries}
         gone = {entry.backend for entry in answer.entries if entry.state is State.GONE}
@@ -51,11 +51,11 @@
             self.left.setdefault(id, now)
         self.addresses.update(answer.addresses)
         self._forget(now)
-        return ListAnswer(
+        return DiscoveryResponse(
             answer.version, answer.kind, [self._laid(each) for each in answer.entries], answer.addresses
         )
 
-    def set(self, marks: dict[str, Mark]) -> ListAnswer | None:
+    def set(self, marks: dict[str, Mark]) -> DiscoveryResponse | None:
         """Takes in later calls, each by its moment; what changes for the node, if anything does."""
         entries: list[Entry] = []
         for id, mark in marks.items():
@@ -71,7 +71,7 @@
         places = {
             each.backend: self.addresses[each.backend] for each in entries if each.backend in self.addresses
         }
-        return ListAnswer(None, ListKind.DELTA, entries, places)
+        return DiscoveryResponse(None, ListKind.DELTA, entries, places)
 
     def warm_from(self, starts: dict[str, float], now: float) -> None:
         """Start times that another process of this node has seen, for ids whose own are older or not told."""
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -15,8 +15,8 @@
 from thornladder.node.flow import BodyPipe
 from thornladder.settings import Address, parse_address, parse_load_report
 
-MOST_WHOLE = 64 * 1024  # bytes: bodies up to here are kept whole, larger ones flow through
-MOST_BODY = 33 * 1024 * 1024  # bytes: 32 MB, and what anybody may mean by that
+MAX_BUFFERED_BYTES = 64 * 1024  # bytes: bodies up to here are kept whole, larger ones flow through
+MAX_BODY_BYTES = 33 * 1024 * 1024  # bytes: 32 MB, and what anybody may mean by that
 Headers = list[tuple[bytes, bytes]]
 
 READY_PATH, LIVE_PATH, LOAD_PATH = b"/health/ready", b"/health/live", b"/stats"
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class UpstreamRequest:
     """What goes on to a backend as it came."""
 
     method: bytes
@@ -46,25 +46,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BadInput:
+class BadRequest:
     """What a client sent cannot be taken."""
 
     status: int
-    words: str
+    message: str
 
 
-class Ending(Enum):
+class FinalOutcome(Enum):
     COMPLETED = "completed"
     NACKED = "nacked"
     TERMINATED = "terminated"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ClientResponse:
     """The final answer to an invocation."""
 
-    ending: Ending
-    come_back: float = 0.0
+    outcome: FinalOutcome
+    retry_after: float = 0.0
     headers: Headers | None = None
     body: bytes = b""
     body_pipe: BodyPipe | None = None
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class UpstreamResponse:
     """What came back on a connection on which this node asked."""
 
     status: int
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListAnswer:
+class DiscoveryResponse:
     """What discovery has told."""
 
     version: int | None
@@ -99,7 +99,7 @@
 # Clients.
 
 
-def doubtful(request: h11.Request, head: bytes) -> BadInput | None:
+def check_head(request: h11.Request, head: bytes) -> BadRequest | None:
     """What is wrong with a head that h11 lets by; `head` is how it came.
 
     Guards against a message that ends elsewhere for a backend than for this node, and against a field that
@@ -108,31 +108,31 @@
     names = [name for name, _ in request.headers]
     lengths = [value.strip() for value in _LENGTH.findall(head)]
     if lengths and b"transfer-encoding" in names:
-        return BadInput(400, "Content-Length and Transfer-Encoding")
+        return BadRequest(400, "Content-Length and Transfer-Encoding")
     if len(lengths) > 1 or not all(value.isdigit() for value in lengths):
-        return BadInput(400, "more than one Content-Length")
-    if lengths and int(lengths[0]) > MOST_BODY:
-        return BadInput(413, "the body is too long")
+        return BadRequest(400, "more than one Content-Length")
+    if lengths and int(lengths[0]) > MAX_BODY_BYTES:
+        return BadRequest(413, "the body is too long")
     twice = next((name for name in _READ_HERE if names.count(name) > 1), None)
-    return BadInput(400, f"more than one {twice.decode()}") if twice else None
+    return BadRequest(400, f"more than one {twice.decode()}") if twice else None
 
 
 def decode_invocation(
     request: h11.Request, body: bytes, offerings: Mapping[str, api.Offering], flow: BodyPipe | None = None
-) -> tuple[api.Invocation, Message] | BadInput:
+) -> tuple[api.Invocation, UpstreamRequest] | BadRequest:
     headers = list(request.headers)
     found = dict(headers)
     path, _, query = request.target.partition(b"?")
     name = path.split(b"/", 2)[1].decode("ascii", "replace") if path.startswith(b"/") else ""
     offering = offerings.get(name)
     if offering is None:
-        return BadInput(404, "unknown offering")
+        return BadRequest(404, "unknown offering")
     id = found.get(b"x-call-id", b"")
     if not _ID.fullmatch(id):
-        return BadInput(400, "X-Call-Id is missing or malformed")
+        return BadRequest(400, "X-Call-Id is missing or malformed")
     budget = found.get(b"x-budget-ms")
     if budget is not None and not (budget.isdigit() and len(budget) <= 9):
-        return BadInput(400, "X-Budget-Ms must be whole milliseconds")
+        return BadRequest(400, "X-Budget-Ms must be whole milliseconds")
     invocation = api.Invocation(
         id=id.decode(),
         offering=name,
@@ -143,7 +143,9 @@
         streaming=flow is not None,
     )
     length = int(found[b"content-length"]) if flow is not None and b"content-length" in found else None
-    return invocation, Message(request.method, request.target, _passed_on(headers), body, flow, length)
+    return invocation, UpstreamRequest(
+        request.method, request.target, _passed_on(headers), body, flow, length
+    )
 
 
 def time_left(budget: bytes | None, offering: api.Offering) -> float:
@@ -156,27 +158,27 @@
     return int(found[1], 16) if found else None
 
 
-def encode_answer(answer: Answer, closing: bool) -> tuple[h11.Response, bytes]:
+def encode_client_response(answer: ClientResponse, closing: bool) -> tuple[h11.Response, bytes]:
     headers: Headers = []
     body = answer.body
-    if answer.ending is Ending.COMPLETED:
+    if answer.outcome is FinalOutcome.COMPLETED:
         status = 200
         headers += _passed_on(answer.headers or [])
-    elif answer.ending is Ending.NACKED:
+    elif answer.outcome is FinalOutcome.NACKED:
         status, body = 503, b"nacked\n"
-        if answer.come_back > 0.0:
-            headers.append((b"Retry-After", b"%.3f" % answer.come_back))
+        if answer.retry_after > 0.0:
+            headers.append((b"Retry-After", b"%.3f" % answer.retry_after))
     else:
         status, body = 502, b"terminated\n"
-    return encode(status, headers, body, closing, answer.body_pipe is not None, answer.length)
+    return encode_response(status, headers, body, closing, answer.body_pipe is not None, answer.length)
 
 
-def encode_plain(status: int, words: str, closing: bool) -> tuple[h11.Response, bytes]:
+def encode_text_response(status: int, words: str, closing: bool) -> tuple[h11.Response, bytes]:
     """An answer that concerns no invocation: readiness, bad input."""
-    return encode(status, [(b"Content-Type", b"text/plain")], words.encode() + b"\n", closing)
+    return encode_response(status, [(b"Content-Type", b"text/plain")], words.encode() + b"\n", closing)
 
 
-def encode(
+def encode_response(
     status: int, headers: Headers, body: bytes, closing: bool, flows: bool = False, length: int | None = None
 ) -> tuple[h11.Response, bytes]:
     if not flows or length is not None:  # without a length it goes in chunks, or ends with its connection
@@ -186,15 +188,15 @@
     return h11.Response(status_code=status, headers=headers, reason=_REASONS.get(status, b"")), body
 
 
-def early_nack(come_back: float, closing: bool) -> bytes:
+def encode_nack(retry_after: float, closing: bool) -> bytes:
     """A nack as it goes out, for those that are given no more than that."""
-    when = b"Retry-After: %.3f\r\n" % come_back if come_back > 0.0 else b""
+    when = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""
     end = b"Connection: close\r\n" if closing else b""
     return b"HTTP/1.1 503 Service Unavailable\r\n%s%sContent-Length: 7\r\n\r\nnacked\n" % (when, end)
 
 
 # A termination in words that cannot fail.
-LAST_RESORT = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+FALLBACK_RESPONSE = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 _REASONS = {
     200: b"OK",
@@ -211,12 +213,12 @@
 
 # Backends.
 
-PROBE = Message(b"GET", LIVE_PATH, [], b"")
-LOAD_PROBE = Message(b"GET", LOAD_PATH, [], b"")
-MOST_REPORT = 4096  # bytes: a load report holds four values at most
+HEALTH_PROBE = UpstreamRequest(b"GET", LIVE_PATH, [], b"")
+LOAD_PROBE = UpstreamRequest(b"GET", LOAD_PATH, [], b"")
+MAX_LOAD_REPORT_BYTES = 4096  # bytes: a load report holds four values at most
 
 
-def encode_push(message: Message, time_left: float, host: str) -> h11.Request:
+def encode_push(message: UpstreamRequest, time_left: float, host: str) -> h11.Request:
     headers = list(message.headers)
     if not any(name == b"host" for name, _ in headers):
         headers.append((b"Host", host.encode()))  # an older client sent none
@@ -230,7 +232,7 @@
     return h11.Request(method=message.method, target=message.target, headers=headers)
 
 
-def outcome_of(reply: Reply) -> api.Outcome:
+def outcome_of(reply: UpstreamResponse) -> api.Outcome:
     if reply.status == 200:
         return api.Outcome.COMPLETED
     if reply.status in (503, 504) and (b"x-rejected", b"1") in reply.headers:
@@ -238,34 +240,36 @@
     return api.Outcome.ERROR
 
 
-def decode_report(body: bytes) -> api.LoadReport:
+def decode_load_report(body: bytes) -> api.LoadReport:
     """The load report in a probe's answer; what cannot be read tells nothing and ends nothing."""
     try:
-        return parse_load_report(parse_object(body) if len(body) <= MOST_REPORT else None)
+        return parse_load_report(parse_object(body) if len(body) <= MAX_LOAD_REPORT_BYTES else None)
     except MalformedError:
         return api.NO_REPORT
 
 
-def completed(reply: Reply) -> Answer:
-    return Answer(Ending.COMPLETED, 0.0, reply.headers, reply.body, reply.body_pipe, reply.length)
+def completed_response(reply: UpstreamResponse) -> ClientResponse:
+    return ClientResponse(
+        FinalOutcome.COMPLETED, 0.0, reply.headers, reply.body, reply.body_pipe, reply.length
+    )
 
 
 # Discovery.
 
 
-def encode_watch(host: str, version: int | None, wait: float) -> h11.Request:
+def encode_list_request(host: str, version: int | None, wait: float) -> h11.Request:
     target = LIST_PATH if version is None else f"{LIST_PATH}?from={version}&hold_ms={round(wait * 1000.0)}"
     return h11.Request(method=b"GET", target=target.encode(), headers=[(b"Host", host.encode())])
 
 
 # A node that never had a list asks for the whole one.
-NO_LIST = ListAnswer(None, api.ListKind.SNAPSHOT, [], {})
+EMPTY_LIST = DiscoveryResponse(None, api.ListKind.SNAPSHOT, [], {})
 
 
-def decode_list(body: bytes | dict[str, Any]) -> ListAnswer:
+def decode_list(body: bytes | dict[str, Any]) -> DiscoveryResponse:
     message = parse_object(body) if isinstance(body, bytes) else body
     whole = get_field(message, "reset", bool, False)
-    answer = ListAnswer(
+    answer = DiscoveryResponse(
         version=get_field(message, "generation", int),
         kind=api.ListKind.SNAPSHOT if whole else api.ListKind.DELTA,
         entries=[],
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -24,7 +24,7 @@
 from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Phase, Places, Seen
 from thornladder.node.host import Clock, NodeHost
 from thornladder.node.maintenance import Maintenance
-from thornladder.node.messages import ListAnswer
+from thornladder.node.messages import DiscoveryResponse
 from thornladder.node.operations import Operations
 from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
@@ -39,7 +39,7 @@
 
 
 async def run(
-    config: Config, known: ListAnswer, log: Any, path: str = "", companions: Sequence[Companion] = ()
+    config: Config, known: DiscoveryResponse, log: Any, path: str = "", companions: Sequence[Companion] = ()
 ) -> None:
     """`path` names the file that the configuration came from, to be read again on SIGHUP."""
     clock = Clock()
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -17,7 +17,7 @@
 from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending
+from thornladder.node.messages import ClientResponse, FinalOutcome
 
 
 class Flaw:
@@ -66,7 +66,7 @@
         if self.kind == "slow" and exchange.invocation.offering == self.rest[0]:
             time.sleep(float(self.rest[1]))
         if self.kind == "nack" and self.count % round(1.0 / float(self.rest[0])) == 0:
-            exchange.finish(Answer(Ending.NACKED))
+            exchange.finish(ClientResponse(FinalOutcome.NACKED))
             return True
         return self.handler.start_invocation(exchange)
 
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -27,7 +27,7 @@
 from thornladder.node.exchange import Exchange
 from thornladder.node.host import NodeHost
 from thornladder.node.http1 import Cause, Failure, Line, Stage
-from thornladder.node.messages import Answer, Ending, Message
+from thornladder.node.messages import ClientResponse, FinalOutcome, UpstreamRequest
 from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
 from thornladder.rig import moments
@@ -368,7 +368,7 @@
         self.chance = Random(schedule.seed)
         self.reference = Reference(schedule.pushed, schedule.grace)
         self.reference.away = list(schedule.away)
-        self.answers = dict.fromkeys(Ending, 0)
+        self.answers = dict.fromkeys(FinalOutcome, 0)
         self.group: Any
 
     async def run(self) -> World:
@@ -403,11 +403,11 @@
             await anyio.sleep(self.chance.expovariate(self.schedule.rate))
             number += 1
             invocation = api.Invocation(f"i{number}", "look", "t", LOOK.cut_off, None, False)
-            message = Message(b"GET", b"/look", [(b"x-call-id", invocation.id.encode())], b"")
+            message = UpstreamRequest(b"GET", b"/look", [(b"x-call-id", invocation.id.encode())], b"")
             host.start_invocation(Exchange(invocation, message, self._answered))
 
-    def _answered(self, answer: Answer) -> None:
-        self.answers[answer.ending] += 1
+    def _answered(self, answer: ClientResponse) -> None:
+        self.answers[answer.outcome] += 1
 
     async def _faults(self, watch: Watch) -> None:
         day, service = self.schedule, self.service
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -24,7 +24,7 @@
 from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending
+from thornladder.node.messages import ClientResponse, FinalOutcome
 
 LONGEST = 60_000_000  # microseconds of an answer: past any cut-off
 DIGITS = 2  # of a time that are kept: a twentieth of a fifth slower is still seen
@@ -159,10 +159,10 @@
         offering, tenant = exchange.invocation.offering, exchange.invocation.tenant
         began = clock() - exchange.waited
 
-        def look(answer: Answer) -> None:
+        def look(answer: ClientResponse) -> None:
             took = clock() - began
-            completed = answer.ending is Ending.COMPLETED
-            kind = LATE if completed else NACKED if answer.ending is Ending.NACKED else TERMINATED
+            completed = answer.outcome is FinalOutcome.COMPLETED
+            kind = LATE if completed else NACKED if answer.outcome is FinalOutcome.NACKED else TERMINATED
             bad = not completed or took > counters.targets.get(offering, math.inf)
             further = len(exchange.scopes) - 1
             _add(counters.rows[offering], kind, bad, further)
