--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: batches answered, unknown keys skipped, malformed input refused, exceptions reported."""
+"""The simulator adapter: replies to batches, unknown keys, malformed input, reported exceptions."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 SUBMIT = {"kind": "SUBMIT", "I": "node-1", "Id": "aa", "Grace": 900000, "Qos": "look"}
 
 
-def play(*messages: dict | str) -> list[dict]:
+def run_adapter(*messages: dict | str) -> list[dict]:
+    """Feeds the messages to an adapter and returns the decoded lines of its reply."""
     lines = [message if isinstance(message, str) else json.dumps(message) for message in messages]
     sink = io.StringIO()
     run(io.StringIO("\n".join(lines) + "\n"), sink)
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_a_batch_is_answered() -> None:
-    reply = play(SYNC, CREATE, LIST, SUBMIT, FLUSH)
+def test_batch_gets_a_reply() -> None:
+    reply = run_adapter(SYNC, CREATE, LIST, SUBMIT, FLUSH)
     push = next(line for line in reply if line["kind"] == "HAND_OFF")
     assert push == {
         "kind": "HAND_OFF", "I": "node-1", "Id": "aa", "GiveUpAfter": 900000, "Backend": "10.0.0.1:80",
@@ -42,24 +43,24 @@
     assert reply[-1] == {"kind": "NEXT"}
 
 
-def test_halt_and_create_in_one_batch_start_afresh() -> None:
-    empty = {**LIST, "Entries": []}
+def test_halt_and_create_in_one_batch_discards_the_old_instance() -> None:
+    empty_list = {**LIST, "Entries": []}
     halt = {"kind": "HALT", "I": "node-1"}
-    reply = play(SYNC, CREATE, LIST, FLUSH, SYNC, halt, CREATE, empty, SUBMIT, FLUSH)
+    reply = run_adapter(SYNC, CREATE, LIST, FLUSH, SYNC, halt, CREATE, empty_list, SUBMIT, FLUSH)
     assert [line["kind"] for line in reply if "Id" in line] == ["DECLINE"]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     ["nonsense", "[1]", {**SUBMIT, "Qos": "other"}, {**SUBMIT, "Grace": "long"}, {**SUBMIT, "I": "node-9"},
      {"kind": "ODD", "I": "node-1"}, SYNC, {**LIST, "Entries": [{"Backend": "b"}]}],
 )  # fmt: skip
-def test_malformed_input_is_refused(bad: dict | str) -> None:
+def test_malformed_input_is_rejected(malformed: dict | str) -> None:
     with pytest.raises(MalformedError):
-        play(SYNC, CREATE, LIST, bad, FLUSH)
+        run_adapter(SYNC, CREATE, LIST, malformed, FLUSH)
 
 
-def test_an_exception_of_the_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_decision_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(decide.Node, "on_client_gone", lambda *_: 1 // 0)
-    reply = play(SYNC, CREATE, LIST, {"kind": "DROPPED", "I": "node-1", "Id": "aa"}, FLUSH)
+    reply = run_adapter(SYNC, CREATE, LIST, {"kind": "DROPPED", "I": "node-1", "Id": "aa"}, FLUSH)
     assert any(line["kind"] == "BROKEN" and "ZeroDivision" in line["Words"] for line in reply)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program: how it starts and how it ends."""
+"""A node as a process: start, graceful shutdown, reload on SIGHUP, exit codes."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 @asynccontextmanager
 async def running_node(folder: Path, *backends: Peer, info: dict | None = None):
-    """A node as a process of its own; yields it and its port."""
+    """Runs a node with these backends in its own process; yields the process and the node's port."""
     discovery = Peer(lambda got: news(1) if got.target.endswith("=0") else None)
     async with anyio.create_task_group() as tasks:
         for peer in (*backends, discovery):
             await tasks.start(peer.serve)
-        lines = [listed(number, peer.port) for number, peer in enumerate(backends)]
+        instances = [listed(number, peer.port) for number, peer in enumerate(backends)]
         path = folder / "config.json"
-        path.write_text(json.dumps(config(lines, discovery.port, info=info)))
+        path.write_text(json.dumps(config(instances, discovery.port, info=info)))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
         process = await anyio.open_process(NODE_COMMAND, env=environment, stderr=subprocess.PIPE)
         try:
-            text = b""
-            while b"\n" not in text:
-                text += await process.stderr.receive()
-            yield process, json.loads(text.split(b"\n")[0])["listen"][1]
+            output = b""
+            while b"\n" not in output:
+                output += await process.stderr.receive()
+            yield process, json.loads(output.split(b"\n")[0])["listen"][1]
         finally:
-            # Guards against a failed check that is lost in a cancelled scope.
+            # Shielded, or a failed assertion would be lost in a cancelled scope.
             with anyio.CancelScope(shield=True):
                 if process.returncode is None:
                     process.kill()
@@ -48,63 +48,63 @@
     return Client(await anyio.connect_tcp("127.0.0.1", port))
 
 
-async def test_a_planned_end_answers_all_that_came(tmp_path: Path) -> None:
+async def test_graceful_shutdown_answers_every_invocation(tmp_path: Path) -> None:
     backend = Peer(lambda got: None if got.target == "/look" else reply(200))
     async with running_node(tmp_path, backend) as (process, port):
-        idle, busy, later = await connect(port), await connect(port), await connect(port)
+        idle, busy, old = await connect(port), await connect(port), await connect(port)
         assert (await idle.ask("a0", "pay", body=b"x")).target == "200"
         await busy.send("a1", "look", 800)
         await until(lambda: len(backend.got) == 2)
         process.send_signal(signal.SIGTERM)
-        began = anyio.current_time()
+        signalled_at = anyio.current_time()
         while (await (await connect(port)).raw(READY)).target == "200":
-            assert anyio.current_time() - began < 0.3
-        late = await (await connect(port)).ask("a2", "pay", body=b"x")
-        kept = await later.ask("a3", "pay", body=b"x")
-        assert (late.target, late.headers["connection"]) == (kept.target, kept.headers["connection"])
-        assert (late.target, late.headers["connection"]) == ("200", "close")
+            assert anyio.current_time() - signalled_at < 0.3
+        on_new = await (await connect(port)).ask("a2", "pay", body=b"x")
+        on_old = await old.ask("a3", "pay", body=b"x")
+        assert (on_new.target, on_new.headers["connection"]) == (on_old.target, on_old.headers["connection"])
+        assert (on_new.target, on_new.headers["connection"]) == ("200", "close")
         assert (await busy.answer()).target == "503"
         with pytest.raises(anyio.EndOfStream):
             await idle.stream.receive()
         assert await process.wait() == 0
-        assert anyio.current_time() - began < 1.7
+        assert anyio.current_time() - signalled_at < 1.7
 
 
-async def test_a_planned_end_under_load_loses_nothing(tmp_path: Path) -> None:
-    asked, answered = set(), {}
-    leaving = anyio.Event()
+async def test_graceful_shutdown_under_load_loses_no_invocation(tmp_path: Path) -> None:
+    sent_ids, answers = set(), {}
+    front_noticed = anyio.Event()
 
-    async def play(port: int, caller: int) -> None:
+    async def run_client(port: int, client_number: int) -> None:
         client = await connect(port)
         for number in range(1000):
-            if leaving.is_set() and number % 2:
+            if front_noticed.is_set() and number % 2:
                 return
-            id = f"{caller}-{number}"
-            asked.add(id)
-            answer = answered[id] = await client.ask(id, "look" if caller % 2 else "pay", 900, b"x")
+            id = f"{client_number}-{number}"
+            sent_ids.add(id)
+            answer = answers[id] = await client.ask(id, "look" if client_number % 2 else "pay", 900, b"x")
             assert answer.target in ("200", "502", "503")
             if answer.headers.get("connection") == "close":
-                client = await connect(port)  # comes as long as the front has not noticed
+                client = await connect(port)  # possible until the front notices the shutdown
 
     async with running_node(tmp_path, *(Peer(lambda _: reply(200)) for _ in range(3))) as (process, port):
         async with anyio.create_task_group() as tasks:
-            for caller in range(16):
-                tasks.start_soon(play, port, caller)
-            await until(lambda: len(answered) > 300)
+            for client_number in range(16):
+                tasks.start_soon(run_client, port, client_number)
+            await until(lambda: len(answers) > 300)
             process.send_signal(signal.SIGTERM)
-            closing = len(answered)
-            await until(lambda: len(answered) > closing + 16)
-            leaving.set()
+            answers_at_signal = len(answers)
+            await until(lambda: len(answers) > answers_at_signal + 16)
+            front_noticed.set()
         assert await process.wait() == 0
-        assert asked == answered.keys()
+        assert sent_ids == answers.keys()
 
 
-async def test_a_new_configuration_moves_the_watch_and_nothing_else(tmp_path: Path) -> None:
-    # SIGHUP ended the node.
+async def test_new_configuration_moves_the_watch_and_nothing_else(tmp_path: Path) -> None:
+    # Guards against a node that SIGHUP terminates, as it does by default.
     path = tmp_path / "config.json"
     backend = Peer(lambda got: None if got.target == "/look" else reply(200))
 
-    def elsewhere(got: Got) -> bytes | None:
+    def ahead(got: Got) -> bytes | None:
         return news(3) if got.target.endswith("=0") else None
 
     def behind(got: Got) -> bytes | None:
@@ -114,22 +114,23 @@
 
     async with running_node(tmp_path, backend) as (process, port), anyio.create_task_group() as tasks:
         old = json.loads(path.read_text())
-        places = [Peer(elsewhere), Peer(behind)]
-        for place in places:
-            await tasks.start(place.serve)
+        discoveries = [Peer(ahead), Peer(behind)]
+        for discovery in discoveries:
+            await tasks.start(discovery.serve)
         busy = await connect(port)
         await busy.send("a0", "look", 900)
         await until(lambda: backend.got)
-        for place, first in zip(places, ("from=1&", "from=3&"), strict=True):
-            # Twice in a row; with a bad file in between the one before it stays.
-            for text in (json.dumps({**old, "discovery": f"127.0.0.1:{place.port}"}), "nonsense"):
+        for discovery, first_query in zip(discoveries, ("from=1&", "from=3&"), strict=True):
+            # The second file is malformed: the address from the first one stays in force.
+            for text in (json.dumps({**old, "discovery": f"127.0.0.1:{discovery.port}"}), "nonsense"):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: place.got)  # noqa: B023
-            assert first in place.got[0].target
-            await until(lambda: any("hold_ms=750" in got.target for got in place.got))  # noqa: B023
-        assert "from" not in places[1].got[1].target  # it could not follow
-        assert (await busy.answer()).target == "503"  # what was in hand went its way
+                await until(lambda: discovery.got)  # noqa: B023
+            assert first_query in discovery.got[0].target
+            await until(lambda: any("hold_ms=750" in got.target for got in discovery.got))  # noqa: B023
+        # This discovery service is behind and cannot continue from 3, so the node asks it for a snapshot.
+        assert "from" not in discoveries[1].got[1].target
+        assert (await busy.answer()).target == "503"  # invocations in flight are not affected
         assert (await (await connect(port)).ask("a1", "pay", body=b"x")).target == "200"
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
@@ -142,33 +143,33 @@
     "text", [None, "nonsense", "{}", '{"settings": {"Classes": []}}', "[1]"],
     ids=["no file", "nonsense", "empty", "no offerings", "no object"],
 )  # fmt: skip
-def test_a_bad_config_ends_it_with_one_line(tmp_path: Path, text: str | None) -> None:
+def test_malformed_configuration_ends_it_with_one_line(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    refused(path)
+    run_rejected(path)
 
 
-def refused(path: Path) -> str:
-    """Starts the program on a file that it is to refuse; the one line that it says."""
+def run_rejected(path: Path) -> str:
+    """Runs the program with a configuration that it must reject; returns its one line of output."""
     environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
-    ended = subprocess.run(NODE_COMMAND, env=environment, capture_output=True, check=False)
-    assert ended.returncode == 2 and ended.stderr.count(b"\n") == 1 and not ended.stdout
-    return ended.stderr.decode()
+    result = subprocess.run(NODE_COMMAND, env=environment, capture_output=True, check=False)
+    assert result.returncode == 2 and result.stderr.count(b"\n") == 1 and not result.stdout
+    return result.stderr.decode()
 
 
-def test_settings_of_two_shapes_end_it_with_the_key(tmp_path: Path) -> None:
+def test_settings_for_two_kinds_of_deployment_end_it_with_the_key(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    own_node = {"Report": {"Source": "pull", "Fields": ["rif"]}, "Tenants": [{"Name": "t", "Share": 1.0}]}
-    path.write_text(json.dumps(config([], 1, info={**SETTINGS, **own_node})))
-    words = "Tenants must be empty where Report.Source is 'pull'"
-    assert refused(path) == f"thornladder: {path}: {words}\n"
+    sidecar = {"Report": {"Source": "pull", "Fields": ["rif"]}, "Tenants": [{"Name": "t", "Share": 1.0}]}
+    path.write_text(json.dumps(config([], 1, info={**SETTINGS, **sidecar})))
+    error = "Tenants must be empty where Report.Source is 'pull'"
+    assert run_rejected(path) == f"thornladder: {path}: {error}\n"
 
 
-async def test_an_address_in_use_ends_it_with_one_line(tmp_path: Path) -> None:
+async def test_address_in_use_ends_it_with_one_line(tmp_path: Path) -> None:
     async with Bank() as bank:
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "listen": f"127.0.0.1:{bank.port}"}))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
-        ended = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
-        assert ended.returncode == 1 and ended.stderr.count(b"\n") == 1
+        result = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
+        assert result.returncode == 1 and result.stderr.count(b"\n") == 1
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: whole or not at all, while invocations are in hand."""
+"""Reloading the configuration on SIGHUP while invocations are in flight: applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -23,34 +23,37 @@
 LOOK, PAY, BOOK = SETTINGS["Classes"]
 
 
-class Lines:
-    """The log lines of a process, as they come."""
+class LogReader:
+    """Reads the JSON log lines of a process one by one."""
 
     def __init__(self, process: anyio.abc.Process) -> None:
-        self.process, self.text = process, b""
+        self.process, self.buffer = process, b""
 
     async def next(self) -> dict:
         with anyio.fail_after(2.0):
-            while b"\n" not in self.text:
-                self.text += await self.process.stderr.receive()
-        line, _, self.text = self.text.partition(b"\n")
+            while b"\n" not in self.buffer:
+                self.buffer += await self.process.stderr.receive()
+        line, _, self.buffer = self.buffer.partition(b"\n")
         return json.loads(line)
 
 
-def change(path: tuple, value: Any) -> Callable[[dict], None]:
-    def made(file: dict) -> None:
-        at = file
-        for name in path[:-1]:
-            at = at[name]
+def set_value(path: tuple, value: Any) -> Callable[[dict], None]:
+    """A function that sets the value at this path of a configuration, or deletes it if the value is None."""
+
+    def apply(file: dict) -> None:
+        parent = file
+        for key in path[:-1]:
+            parent = parent[key]
         if value is None:
-            del at[path[-1]]
+            del parent[path[-1]]
         else:
-            at[path[-1]] = value
+            parent[path[-1]] = value
 
-    return made
+    return apply
 
 
-BAD = {
+# What to change, as path and value, and a key that the error has to name.
+MALFORMED = {
     "missing": ((("settings", "Classes", 0, "HardLimit"), None), "HardLimit"),
     "no deadline": ((("settings", "Classes", 1, "HardLimit"), 0), "HardLimit"),
     "negative": ((("settings", "Classes", 1, "HardLimit"), -5), "HardLimit"),
@@ -71,39 +74,39 @@
 }  # fmt: skip
 
 
-async def test_a_file_that_is_not_whole_is_turned_down_whole(tmp_path: Path) -> None:
+async def test_malformed_configuration_is_rejected_as_a_whole(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     backend = Peer(lambda _: reply(200))
     async with running_node(tmp_path, backend) as (process, port):
-        lines, good = Lines(process), path.read_text()
-        files = [("", "not JSON"), (good[:-9], "not JSON"), ("[]", "object")]
-        for (where, value), name in BAD.values():
-            file = json.loads(good)
+        log_reader, original = LogReader(process), path.read_text()
+        files = [("", "not JSON"), (original[:-9], "not JSON"), ("[]", "object")]
+        for (path_in_file, value), key in MALFORMED.values():
+            file = json.loads(original)
             file["settings"]["Classes"].append({**LOOK, "Name": "new"})
-            change(where, value)(file)
-            files.append((json.dumps(file), name))
-        for text, name in files:
+            set_value(path_in_file, value)(file)
+            files.append((json.dumps(file), key))
+        for text, error in files:
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
-            line = await lines.next()
-            assert line["event"].startswith("the new configuration is bad") and name in line["error"], text
+            line = await log_reader.next()
+            assert line["event"].startswith("the new configuration is bad") and error in line["error"], text
         assert (await (await connect(port)).ask("a", "new")).target == "404"
         for name in ("look", "pay", "book"):
             assert (await (await connect(port)).ask(f"a-{name}", name)).target == "200"
 
 
-async def test_settings_change_under_what_is_in_hand(tmp_path: Path) -> None:
+async def test_settings_change_while_invocations_are_in_flight(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    quick = False
+    backend_answers = False
 
     def answer(got: Got) -> bytes | None:
-        return reply(200) if quick else None
+        return reply(200) if backend_answers else None
 
     async with running_node(tmp_path, Peer(answer)) as (process, port):
-        lines = Lines(process)
-        busy, gone = await connect(port), await connect(port)
-        await busy.send("a0", "look", 600)
-        await gone.send("a1", "book", 400)
+        log_reader = LogReader(process)
+        kept, removed = await connect(port), await connect(port)
+        await kept.send("a0", "look", 600)
+        await removed.send("a1", "book", 400)
         file = json.loads(path.read_text())
         file["settings"]["Classes"] = [{**LOOK, "Effect": "single_shot", "HardLimit": 200000}, PAY,
                                        {**LOOK, "Name": "new"}]  # fmt: skip
@@ -111,13 +114,13 @@
         path.write_text(json.dumps(file))
         await anyio.sleep(0.1)
         process.send_signal(signal.SIGHUP)
-        assert (await lines.next())["offerings"] == ["look", "new", "pay"]
-        # In hand they are what they were: nacked, since a repeatable one may come again.
-        assert (await gone.answer()).target == "502"
-        assert (await busy.answer()).target == "503"
-        quick = True
+        assert (await log_reader.next())["offerings"] == ["look", "new", "pay"]
+        # Invocations in flight keep their old offering: the repeatable one may be retried, so it is nacked.
+        assert (await removed.answer()).target == "502"
+        assert (await kept.answer()).target == "503"
+        backend_answers = True
         assert (await (await connect(port)).ask("b0", "book")).target == "404"
-        # The backend went silent before; what is new is served as soon as it is back.
+        # The backend did not answer so far; the new offering is served once the backend is readmitted.
         with anyio.fail_after(5.0):
             number = 0
             while (await (await connect(port)).ask(f"c{number}", "new")).target != "200":
@@ -127,16 +130,16 @@
         assert await process.wait() == 0
 
 
-def test_what_is_in_hand_keeps_its_kind_and_what_comes_has_the_new_one() -> None:
+def test_new_idempotency_applies_to_later_invocations_only() -> None:
     bench = Bench(copies=False)
-    told = settings.policy_arguments(SETTINGS)
+    policy = settings.policy_arguments(SETTINGS)
     bench.list([entry(number) for number in range(4)])
     before = bench.come("a", "look")
     stricter = [dataclasses.replace(OFFERINGS[0], idempotency=Idempotency.ONCE_ONLY), *OFFERINGS[2:]]
     limits = Limits(max_pushes=2, hedging=False, cancellation=True, probes=True, max_retry_after=0.5)
-    bench.node.on_settings(bench.now, **{**told, "offerings": stricter, "limits": limits, "zone": "x"})
+    bench.node.on_settings(bench.now, **{**policy, "offerings": stricter, "limits": limits, "zone": "x"})
     bench.end("a", 0, Outcome.CONNECTION_LOST)
-    assert len(before.pushes) == 2  # repeatable, as it came
+    assert len(before.pushes) == 2  # repeatable, as on arrival
     after = bench.come("b", "look")
     after.offering = stricter[0]
     bench.end("b", 0, Outcome.CONNECTION_LOST)
@@ -144,18 +147,18 @@
     third = bench.come("c", "book")
     bench.end("c", 0, Outcome.REJECTED)
     bench.end("c", 1, Outcome.REJECTED)
-    assert len(third.pushes) == 2  # fewer than before
+    assert len(third.pushes) == 2  # the new, lower limit on pushes
     assert "pay" not in bench.node.offerings
 
 
-def test_marks_alone_may_be_left_out() -> None:
-    held = config([], 1)
-    new = copy.deepcopy(held)
+def test_only_boolean_keys_and_list_items_may_be_left_out() -> None:
+    current = config([], 1)
+    new = copy.deepcopy(current)
     del new["settings"]["PolicyLimits"]["SecondCopies"]
-    assert settings.first_missing_key(held, new) is None
-    del new["settings"]["Classes"][2]  # a class may vanish
-    assert settings.first_missing_key(held, new) is None
+    assert settings.first_missing_key(current, new) is None
+    del new["settings"]["Classes"][2]  # a class may be removed
+    assert settings.first_missing_key(current, new) is None
     del new["settings"]["Classes"][1]["Worth"]
-    assert settings.first_missing_key(held, new) == "settings.Classes.pay.Worth"
+    assert settings.first_missing_key(current, new) == "settings.Classes.pay.Worth"
     with pytest.raises(MalformedError):
         settings.decode(new)
