--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -45,6 +45,7 @@
 
 
 async def connect(port: int) -> Client:
+    """Opens a client connection to a node on this port of the local host."""
     return Client(await anyio.connect_tcp("127.0.0.1", port))
 
 
--- a/thornladder/adapter/wire.py
+++ b/thornladder/adapter/wire.py
@@ -32,7 +32,7 @@
     "restored": api.ListKind.RESTORED,
     "unavailable": api.ListKind.UNAVAILABLE,
 }
-FLAG_REPEATED = 2  # bit of Flags: the client sends this invocation again
+FLAG_RETRY = 2  # bit of Flags: the client has sent this invocation before
 
 
 def to_micros(seconds: float) -> int:
@@ -71,5 +71,5 @@
         tenant=tenant,
         time_left=get_seconds(message, "Grace"),
         key=get_optional(message, "Resource", int),
-        is_retry=bool(flags & FLAG_REPEATED),
+        is_retry=bool(flags & FLAG_RETRY),
     )
