--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -11,12 +11,12 @@
 from harness import Bank, Bench, Got, entry, reply, until
 
 from thornladder.decide import Core
-from thornladder.interface import Kind, Offering
+from thornladder.interface import Idempotency, Offering
 from thornladder.node.clients.connection import ClientConnection
-from thornladder.node.clients.early import Early
+from thornladder.node.clients.early import EarlyShedder
 from thornladder.node.clients.front import Front
 from thornladder.node.host import Lag, NodeHost
-from thornladder.node.streams import unread_for
+from thornladder.node.streams import seconds_since_last_data
 
 WHOLE = b"GET /look HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\nX-Budget-Ms: 400\r\n\r\n"
 POST = b"POST /pay?key=1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: b\r\nContent-Length: 3\r\n\r\nabc"
@@ -70,8 +70,8 @@
     assert bench.node.turns_away(bench.now + 1.0, "pay", 0.5, 0.0) is None
 
 
-LOOK = Offering("look", Kind.REPEATABLE, "all", 0.0, 0.25, 1.0, 1.0, 0.0)
-PAY = Offering("pay", Kind.ONCE_ONLY, "all", 0.0, 0.3, 1.0, 8.0, 0.0)
+LOOK = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 0.25, 1.0, 1.0, 0.0)
+PAY = Offering("pay", Idempotency.ONCE_ONLY, "all", 0.0, 0.3, 1.0, 8.0, 0.0)
 
 
 def test_only_what_is_plainly_one_whole_invocation_is_turned_away_at_a_glance() -> None:
@@ -81,7 +81,7 @@
         asked.append((offering, round(left, 3), waited))
         return 0.25
 
-    early = Early({"look": LOOK, "pay": PAY}, decide)
+    early = EarlyShedder({"look": LOOK, "pay": PAY}, decide)
     nack = early.nack(WHOLE, 0.1, False)
     assert nack.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 0.250" in nack and b"close" not in nack
     assert b"Connection: close" in early.nack(POST, 0.1, True)
@@ -114,7 +114,7 @@
         kept = await bank.client()
         assert (await kept.ask("a0", "look")).target == "200" and not told
         monkeypatch.setattr(Lag, "late", True)
-        monkeypatch.setattr("thornladder.node.streams.unread_for", lambda _: 0.03)
+        monkeypatch.setattr("thornladder.node.streams.seconds_since_last_data", lambda _: 0.03)
         for number in range(3):
             got = await kept.ask(f"a{number + 1}", "pay", 500, b"x")
             assert (got.target, got.headers["retry-after"]) == ("503", "0.200")
@@ -159,8 +159,8 @@
     with client, taken:
         client.sendall(b"x")
         anyio.run(anyio.sleep, 0.08)
-        assert 0.05 <= unread_for(taken) < 2.0
-    assert unread_for(taken) == 0.0  # closed: nothing is told
+        assert 0.05 <= seconds_since_last_data(taken) < 2.0
+    assert seconds_since_last_data(taken) == 0.0  # closed: nothing is told
 
 
 @pytest.mark.anyio
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 from harness import READY, Bank, Got, called, config, listed, news, reply, until
-from test_process import RUN
+from test_process import NODE_COMMAND
 
 from thornladder.interface import Entry, ListKind, State
 from thornladder.node.admin.calls import MAX_BODY_BYTES
@@ -18,7 +18,7 @@
 from thornladder.node.clients.front import Front
 from thornladder.node.handover import Marks, Sheet
 from thornladder.node.maintenance import Maintenance, Mark
-from thornladder.node.messages import ListAnswer
+from thornladder.node.messages import DiscoveryResponse
 
 pytestmark = pytest.mark.anyio
 
@@ -191,8 +191,8 @@
     return Entry(id, state, "x", 0, 1.0, started, "")
 
 
-def answer(*entries: Entry, kind: ListKind = ListKind.WHOLE) -> ListAnswer:
-    return ListAnswer(1, kind, list(entries), {each.backend: ("127.0.0.1", 1) for each in entries})
+def answer(*entries: Entry, kind: ListKind = ListKind.SNAPSHOT) -> DiscoveryResponse:
+    return DiscoveryResponse(1, kind, list(entries), {each.backend: ("127.0.0.1", 1) for each in entries})
 
 
 def test_marks_outlast_all_that_discovery_tells() -> None:
@@ -202,18 +202,18 @@
     ]  # fmt: skip
     assert it.lay(answer(entry("b")), 61.0).entries == [entry("b")]  # it left the list while out
     assert it.knows("a") and not it.knows("c")
-    [back] = it.lay(answer(entry("a", started=59.0), kind=ListKind.CHANGES), 62.0).entries
+    [back] = it.lay(answer(entry("a", started=59.0), kind=ListKind.DELTA), 62.0).entries
     assert back.state is State.DRAINING
     assert it.set({"a": Mark(False, 49.0)}) is None  # an older call
     news = it.set({"a": Mark(False, 70.0)})
     assert [(each.state, each.started_at) for each in news.entries] == [(State.RUNNING, 70.0)]
-    [later] = it.lay(answer(entry("a", started=80.0), kind=ListKind.CHANGES), 81.0).entries
+    [later] = it.lay(answer(entry("a", started=80.0), kind=ListKind.DELTA), 81.0).entries
     assert later.started_at == 80.0
-    [older] = it.lay(answer(entry("a", started=59.0), kind=ListKind.CHANGES), 82.0).entries
+    [older] = it.lay(answer(entry("a", started=59.0), kind=ListKind.DELTA), 82.0).entries
     assert older.started_at == 70.0
     assert it.set({"b": Mark(False, 90.0)}) is None  # was never out
     it.set({"b": Mark(True, 91.0)})
-    [gone] = it.lay(answer(entry("b", State.DRAINING), kind=ListKind.CHANGES), 92.0).entries
+    [gone] = it.lay(answer(entry("b", State.DRAINING), kind=ListKind.DELTA), 92.0).entries
     assert gone.state is State.DRAINING
     assert it.set({"b": Mark(False, 93.0)}).entries[0].state is State.DRAINING  # by discovery's word
 
@@ -250,7 +250,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config([], 1)))
     environment = {**os.environ, "TMPDIR": str(tmp_path), "EDGE_CONFIG": str(path), **given}
-    ended = await anyio.run_process(RUN, env=environment, check=False)
+    ended = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
     assert ended.returncode == code and ended.stderr.count(b"\n") == 1
     assert words in ended.stderr.decode()
 
@@ -260,5 +260,5 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "admin_addr": f"127.0.0.1:{bank.admin}"}))
         environment = {**os.environ, "TMPDIR": str(tmp_path), "EDGE_CONFIG": str(path)}
-        ended = await anyio.run_process(RUN, env=environment, check=False)
+        ended = await anyio.run_process(NODE_COMMAND, env=environment, check=False)
         assert ended.returncode == 1 and ended.stderr.count(b"\n") == 1
--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m thornladder`: one node on sockets, as the file named by EDGE_CONFIG says."""
+"""`python -m thornladder`: runs one node with the configuration file that EDGE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 import structlog
 
 from thornladder import settings
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 from thornladder.node import service
-from thornladder.node.companion import NodeExtension
-from thornladder.node.messages import NO_LIST, decode_list
+from thornladder.node.companion import Companion
+from thornladder.node.messages import EMPTY_LIST, decode_list
 
 
-def log_as_json() -> None:
+def configure_json_logging() -> None:
+    """Makes structlog write JSON lines to standard error, from level INFO on."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -33,26 +34,31 @@
     )
 
 
-def main(extensions: Sequence[NodeExtension] = ()) -> int:
-    """Runs one node to its end; its exit code: 0 ended in order, 1 no address to be had, 2 a bad file."""
-    # Kept back until the node heeds it: it would end a program that is still starting.
+def main(companions: Sequence[Companion] = ()) -> int:
+    """Runs one node until it exits and returns the exit code.
+
+    0: clean exit; 1: OS error, such as an address in use; 2: missing or malformed configuration.
+    """
+    # Blocked until the node handles it: SIGHUP would terminate a process that is still starting.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     path = os.environ.get("EDGE_CONFIG", "")
     if not path:
-        print("thornladder: EDGE_CONFIG names no file", file=sys.stderr)
+        print("thornladder: EDGE_CONFIG is not set", file=sys.stderr)
         return 2
     try:
         config = settings.load(path, os.environ)
-        known = decode_list(config.known) if config.known else NO_LIST
-    except Malformed as error:
+        initial_list = decode_list(config.known) if config.known else EMPTY_LIST
+    except MalformedError as error:
         print(f"thornladder: {path}: {error}", file=sys.stderr)
         return 2
-    log_as_json()
-    # What stands now stands to the end: no collection goes through it again.
+    configure_json_logging()
+    # All objects allocated so far live until exit, so the garbage collector need not scan them again.
     gc.freeze()
     try:
         log = structlog.get_logger()
-        anyio.run(service.run, config, known, log, path, extensions, backend_options={"use_uvloop": True})
+        anyio.run(
+            service.run, config, initial_list, log, path, companions, backend_options={"use_uvloop": True}
+        )
     except OSError as error:
         print(f"thornladder: {error}", file=sys.stderr)
         return 1
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -19,8 +19,8 @@
 from thornladder.membership.wire import State, split_address
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, error_response
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
-from thornladder.node.companion import ExtensionEndpoint, NodeContext
+from thornladder.node.clients.early import ShedPolicy
+from thornladder.node.companion import Further, Surroundings
 from thornladder.node.handover import Sheet
 
 LOOK = 0.1  # seconds between looks whether the other process of this node still is the member
@@ -58,8 +58,10 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {"/members": ExtensionEndpoint(b"GET", self.members)}
 
-    def wrap(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
-        return handler, decide
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
+        return handler, shed_policy
 
     def start(self, context: NodeContext) -> None:
         self.context, self.log = context, context.log
--- a/thornladder/node/admin/calls.py
+++ b/thornladder/node/admin/calls.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from thornladder.fields import Malformed, parse, take
+from thornladder.fields import MalformedError, get_field, parse_object
 from thornladder.node import messages
 
 MAX_HEAD_BYTES = 8 * 1024  # bytes: an operator's call has a few short lines
@@ -117,18 +117,18 @@
         if self.endpoint not in (Endpoint.ENTER_MAINTENANCE, Endpoint.EXIT_MAINTENANCE):
             return AdminRequest(self.endpoint)
         try:
-            backend = take(parse(self.body), "host", str)
-        except Malformed as error:
-            return error_response(400, str(error))
-        if not 0 < len(backend) <= MAX_ID_CHARS:
-            return error_response(400, "host must be the id of a backend")
-        return AdminRequest(self.endpoint, backend)
+            backend = get_field(parse_object(self.body), "host", str)
+        except MalformedError as error:
+            return no(400, str(error))
+        if not 0 < len(backend) <= MOST_ID:
+            return no(400, "host must be the id of a backend")
+        return Call(self.name, backend)
 
     def encode(self, verdict: AdminResponse) -> bytes:
         headers = [(b"Content-Type", b"application/json")]
         if verdict.status == 405:
             headers.append((b"Allow", b"GET, HEAD, POST"))
         body = json.dumps(verdict.facts).encode() + b"\n"
-        head, body = messages.encode(verdict.status, headers, body, True)
+        head, body = messages.encode_response(verdict.status, headers, body, True)
         data = self.http.send(head) or b""
         return data if self.request is not None and self.request.method == b"HEAD" else data + body
--- a/thornladder/node/operations.py
+++ b/thornladder/node/operations.py
@@ -41,21 +41,22 @@
             return self.stand_by(False)
         return self.mark(call.backend_id, call.endpoint is Endpoint.ENTER_MAINTENANCE)
 
-    def status(self) -> AdminResponse:
-        ready = self.host.list_known and self.front.open
+    def status(self) -> Verdict:
+        ready = self.host.list_known and self.front.is_open
         facts = {
-            "ready": ready, "standby": self.front.desk.standby, "leaving": self.front.desk.leaving,
-            "list_known": self.host.list_known, "backends": len(self.host.maintenance.entries),
+            "ready": ready, "standby": self.front.server_state.standby,
+            "leaving": self.front.server_state.draining, "list_known": self.host.list_known,
+            "backends": len(self.host.maintenance.entries),
             "maintenance": self.host.maintenance.out, "connections": len(self.front.connections),
             "in_hand": len(self.host.exchanges), "blind_since": self.host.blind_since,
         }  # fmt: skip
         return AdminResponse(200 if ready else 503, facts)
 
-    def stand_by(self, standby: bool) -> AdminResponse:
-        if self.front.desk.leaving:
-            return error_response(503, "this process is leaving")
-        if standby != self.front.desk.standby:
-            self.front.stand_by(standby)
+    def stand_by(self, standby: bool) -> Verdict:
+        if self.front.server_state.draining:
+            return no(503, "this process is leaving")
+        if standby != self.front.server_state.standby:
+            self.front.set_standby(standby)
             self.log.info("standby" if standby else "active")
         return AdminResponse(200, {"standby": standby})
 
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -14,10 +14,10 @@
 import anyio
 
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
-from thornladder.node.companion import ExtensionEndpoint, NodeContext
+from thornladder.node.clients.early import ShedPolicy
+from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending
+from thornladder.node.messages import ClientResponse, FinalOutcome
 
 
 class Flaw:
@@ -34,14 +34,16 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {}
 
-    def wrap(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
         self.handler = handler
         self.body_received, self.body_stalled, self.client_disconnected = (
             handler.body_received,
             handler.body_stalled,
             handler.client_disconnected,
         )
-        return self, decide
+        return self, shed_policy
 
     def start(self, context: NodeContext) -> None:
         context.tasks.start("a planted fault", self._run)
@@ -64,7 +66,7 @@
         if self.kind == "slow" and exchange.invocation.offering == self.rest[0]:
             time.sleep(float(self.rest[1]))
         if self.kind == "nack" and self.count % round(1.0 / float(self.rest[0])) == 0:
-            exchange.finish(Answer(Ending.NACKED))
+            exchange.finish(ClientResponse(FinalOutcome.NACKED))
             return True
         return self.handler.start_invocation(exchange)
 
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -19,7 +19,7 @@
 import anyio
 
 from thornladder import interface as api
-from thornladder.interface import Kind, Limits, Offering
+from thornladder.interface import Idempotency, Limits, Offering
 from thornladder.node import messages
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import Pushes
@@ -27,8 +27,8 @@
 from thornladder.node.exchange import Exchange
 from thornladder.node.host import NodeHost
 from thornladder.node.http1 import Cause, Failure, Line, Stage
-from thornladder.node.messages import Answer, Ending, Message
-from thornladder.node.streams import Held
+from thornladder.node.messages import ClientResponse, FinalOutcome, UpstreamRequest
+from thornladder.node.streams import BodyBudget
 from thornladder.node.tasks import Tasks
 from thornladder.rig import moments
 from thornladder.rig.moments import Peer, Wire
@@ -322,7 +322,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-LOOK = Offering("look", Kind.REPEATABLE, "all", 0.0, 0.4, 1.5, 1.0, 0.0)
+LOOK = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 0.4, 1.5, 1.0, 0.0)
 
 
 def decisions(nodes: int, pushed: bool) -> dict[str, Any]:
@@ -330,7 +330,9 @@
     return {
         "zone": "x", "rank": 0, "nodes": nodes, "offerings": [LOOK], "tenants": [],
         "over_share_worth": 0.1, "utility_by_work": False, "limits": Limits(3, False, True, True, 0.5),
-        "cold": api.ColdRule(share=1.0, warm_up=1.0, multiple=100.0, span=1.0),
+        "cold": api.SlowStartRule(
+            initial_capacity=1.0, warm_up=1.0, overload_multiple=100.0, overload_window=1.0
+        ),
         "must_ask_in": 0.0 if pushed else MUST_ASK,
     }  # fmt: skip
 
@@ -366,7 +368,7 @@
         self.chance = Random(schedule.seed)
         self.reference = Reference(schedule.pushed, schedule.grace)
         self.reference.away = list(schedule.away)
-        self.answers = dict.fromkeys(Ending, 0)
+        self.answers = dict.fromkeys(FinalOutcome, 0)
         self.group: Any
 
     async def run(self) -> World:
@@ -376,7 +378,7 @@
             clock = anyio.current_time
             host = NodeHost(clock, tasks, self.log)  # type: ignore[arg-type]
             pool = Pool(4096, 60.0, 1.0, clock, connect=self._connect)
-            pushes = Pushes(pool, self.schedule.grace, False, Held(2**20), tasks, host, clock, self.log)
+            pushes = Pushes(pool, self.schedule.grace, False, BodyBudget(2**20), tasks, host, clock, self.log)
             lines = [listed(f"s{number}", "in_service") for number in range(self.schedule.backends)]
             known = messages.decode_list({"generation": 1, "reset": True, "instances": lines})
             watch = Watch(("list", 0), 1, tasks, host.list_told, self.log, connect=self.service.connect,
@@ -401,11 +403,11 @@
             await anyio.sleep(self.chance.expovariate(self.schedule.rate))
             number += 1
             invocation = api.Invocation(f"i{number}", "look", "t", LOOK.cut_off, None, False)
-            message = Message(b"GET", b"/look", [(b"x-call-id", invocation.id.encode())], b"")
+            message = UpstreamRequest(b"GET", b"/look", [(b"x-call-id", invocation.id.encode())], b"")
             host.start_invocation(Exchange(invocation, message, self._answered))
 
-    def _answered(self, answer: Answer) -> None:
-        self.answers[answer.ending] += 1
+    def _answered(self, answer: ClientResponse) -> None:
+        self.answers[answer.outcome] += 1
 
     async def _faults(self, watch: Watch) -> None:
         day, service = self.schedule, self.service
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -21,10 +21,10 @@
 from thornladder.membership.wire import VERSION
 from thornladder.node.admin.calls import AdminRequest, AdminResponse
 from thornladder.node.clients.connection import InvocationHandler
-from thornladder.node.clients.early import Decide
-from thornladder.node.companion import ExtensionEndpoint, NodeContext
+from thornladder.node.clients.early import ShedPolicy
+from thornladder.node.companion import Further, Surroundings
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending
+from thornladder.node.messages import ClientResponse, FinalOutcome
 
 LONGEST = 60_000_000  # microseconds of an answer: past any cut-off
 DIGITS = 2  # of a time that are kept: a twentieth of a fifth slower is still seen
@@ -67,9 +67,11 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {"/counters": ExtensionEndpoint(b"GET", self.snapshot)}
 
-    def wrap(self, handler: InvocationHandler, decide: Decide) -> tuple[InvocationHandler, Decide]:
+    def between(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
         def turned(offering: str, time_left: float, waited: float) -> float | None:
-            come_back = decide(offering, time_left, waited)
+            come_back = shed_policy(offering, time_left, waited)
             if come_back is not None:
                 row = self.rows[offering]
                 row[TAKEN] += 1
@@ -157,10 +159,10 @@
         offering, tenant = exchange.invocation.offering, exchange.invocation.tenant
         began = clock() - exchange.waited
 
-        def look(answer: Answer) -> None:
+        def look(answer: ClientResponse) -> None:
             took = clock() - began
-            completed = answer.ending is Ending.COMPLETED
-            kind = LATE if completed else NACKED if answer.ending is Ending.NACKED else TERMINATED
+            completed = answer.outcome is FinalOutcome.COMPLETED
+            kind = LATE if completed else NACKED if answer.outcome is FinalOutcome.NACKED else TERMINATED
             bad = not completed or took > counters.targets.get(offering, math.inf)
             further = len(exchange.scopes) - 1
             _add(counters.rows[offering], kind, bad, further)
