--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -14,7 +14,7 @@
 from test_process import connect, running_node
 
 from thornladder import settings
-from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Sheet
+from thornladder.node.handover import Deployment, Learned, Lessons, Marks, StateFile
 from thornladder.node.maintenance import Mark
 from thornladder.node.service import Handover
 
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("under", [3, [], {}, {"zone": "x"}, {"zone": "x", "classes": "look"},
                                    {"zone": "x", "classes": [1, None]}])  # fmt: skip
 def test_a_file_that_does_not_say_soundly_whose_it_is_counts_as_none(under: Any, tmp_path: Path) -> None:
-    sheet = Sheet(str(tmp_path), "n", "learned", OURS)
+    sheet = StateFile(str(tmp_path), "n", "learned", OURS)
     assert not OURS.fits(under)
     sheet.write({"starts": []})
     assert sheet.read() is not None and not sheet.foreign
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -15,7 +15,7 @@
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.early import EarlyShedder
 from thornladder.node.clients.front import Front
-from thornladder.node.host import Lag, NodeHost
+from thornladder.node.host import EventLoopLag, NodeHost
 from thornladder.node.streams import seconds_since_last_data
 
 WHOLE = b"GET /look HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\nX-Budget-Ms: 400\r\n\r\n"
@@ -109,11 +109,11 @@
 @pytest.mark.anyio
 async def test_a_late_node_turns_away_unread_on_new_and_kept_connections(monkeypatch) -> None:
     told, come_back = [], 0.2
-    monkeypatch.setattr(NodeHost, "turns_away", lambda _, *what: told.append(what) or come_back)
+    monkeypatch.setattr(NodeHost, "shed_retry_after", lambda _, *what: told.append(what) or come_back)
     async with Bank(done) as bank:
         kept = await bank.client()
         assert (await kept.ask("a0", "look")).target == "200" and not told
-        monkeypatch.setattr(Lag, "late", True)
+        monkeypatch.setattr(EventLoopLag, "is_late", True)
         monkeypatch.setattr("thornladder.node.streams.seconds_since_last_data", lambda _: 0.03)
         for number in range(3):
             got = await kept.ask(f"a{number + 1}", "pay", 500, b"x")
@@ -127,10 +127,10 @@
         told.clear()
         assert (await at_once(bank)).startswith(b"HTTP/1.1 200 ")
         assert len(told) == 1  # was asked twice for each new connection, also of a node that is not late
-        monkeypatch.setattr(Lag, "late", False)
+        monkeypatch.setattr(EventLoopLag, "is_late", False)
         assert (await at_once(bank)).startswith(b"HTTP/1.1 200 ")
         assert len(told) == 1
-        monkeypatch.setattr(Lag, "late", True)
+        monkeypatch.setattr(EventLoopLag, "is_late", True)
         assert (await kept.ask("a9", "pay", 500, b"x")).target == "200"
         assert (await bank.ask("b9", "look", 500)).target == "200"
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,7 +16,7 @@
 from thornladder.node.admin.calls import MAX_BODY_BYTES
 from thornladder.node.admin.server import AdminServer
 from thornladder.node.clients.front import Front
-from thornladder.node.handover import Marks, Sheet
+from thornladder.node.handover import Marks, StateFile
 from thornladder.node.maintenance import Maintenance, Mark
 from thornladder.node.messages import DiscoveryResponse
 
@@ -234,7 +234,7 @@
     assert one.load() == {}
     path.write_bytes(whole.replace(b"true", b"trve", 1))
     assert one.load() == {}
-    Sheet(str(tmp_path), "n/1", "maintenance").write({"marks": [{"id": "a", "out": 3}, 4]})
+    StateFile(str(tmp_path), "n/1", "maintenance").write({"marks": [{"id": "a", "out": 3}, 4]})
     assert one.load() == {}
     assert not [each for each in tmp_path.iterdir() if each.suffix.isdigit()]
 
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -22,7 +22,7 @@
 from thornladder.node.clients.front import Front
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
-from thornladder.node.host import Lag, NodeHost
+from thornladder.node.host import EventLoopLag, NodeHost
 from thornladder.node.http1 import Line
 
 pytestmark = pytest.mark.anyio
@@ -41,7 +41,11 @@
         (Pool, ("get", "sweep", "_close_left"), 5),
         (Pushes, ("on_list", "forget", "_ask"), 5),
         (Watch, ("_call", "_astray"), 2),
-        (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
+        (
+            NodeHost,
+            ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "on_list_answer"),
+            5,
+        ),
         (Exchange, ("finish",), 5),
         (
             messages,
@@ -180,7 +184,7 @@
     plant = Plant(every, node_only if owner in (h11.Connection, SocketStream) else lambda: True)
     monkeypatch.setattr(owner, name, plant.into(getattr(owner, name)))
     if name == "seconds_since_last_data":
-        monkeypatch.setattr(Lag, "late", True)  # it is asked only then
+        monkeypatch.setattr(EventLoopLag, "is_late", True)  # it is asked only then
     bank = Rough(answer, answer, answer, sockets=60, tells=tells)
     async with bank:
         await crowd(bank)
--- a/thornladder/__main__.py
+++ b/thornladder/__main__.py
@@ -15,7 +15,7 @@
 from thornladder import settings
 from thornladder.fields import MalformedError
 from thornladder.node import service
-from thornladder.node.companion import Companion
+from thornladder.node.companion import NodeExtension
 from thornladder.node.messages import EMPTY_LIST, decode_list
 
 
@@ -34,7 +34,7 @@
     )
 
 
-def main(companions: Sequence[Companion] = ()) -> int:
+def main(extensions: Sequence[NodeExtension] = ()) -> int:
     """Runs one node until it exits and returns the exit code.
 
     0: clean exit; 1: OS error, such as an address in use; 2: missing or malformed configuration.
@@ -57,7 +57,7 @@
     try:
         log = structlog.get_logger()
         anyio.run(
-            service.run, config, initial_list, log, path, companions, backend_options={"use_uvloop": True}
+            service.run, config, initial_list, log, path, extensions, backend_options={"use_uvloop": True}
         )
     except OSError as error:
         print(f"thornladder: {error}", file=sys.stderr)
--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -44,7 +44,7 @@
         from thornladder.membership.config import load
 
         try:
-            companions.append(Membership(load(fleet)))
+            extensions.append(Membership(load(fleet)))
         except MalformedError as error:
             refuse(f"{fleet}: {error}")
     if config:
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -20,8 +20,8 @@
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, error_response
 from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import ShedPolicy
-from thornladder.node.companion import Further, Surroundings
-from thornladder.node.handover import Sheet
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
+from thornladder.node.handover import StateFile
 
 LOOK = 0.1  # seconds between looks whether the other process of this node still is the member
 COUNT = 0.5  # seconds between looks at the number of nodes
@@ -33,7 +33,7 @@
     """Which process of a node is the member: the one that holds a lock, which any death frees."""
 
     def __init__(self, folder: str, name: str) -> None:
-        self.path = Sheet(folder, name, "member").path
+        self.path = StateFile(folder, name, "member").path
 
     def take(self) -> int | None:
         descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -58,7 +58,7 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {"/members": ExtensionEndpoint(b"GET", self.members)}
 
-    def between(
+    def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
         return handler, shed_policy
--- a/thornladder/node/admin/calls.py
+++ b/thornladder/node/admin/calls.py
@@ -119,10 +119,10 @@
         try:
             backend = get_field(parse_object(self.body), "host", str)
         except MalformedError as error:
-            return no(400, str(error))
-        if not 0 < len(backend) <= MOST_ID:
-            return no(400, "host must be the id of a backend")
-        return Call(self.name, backend)
+            return error_response(400, str(error))
+        if not 0 < len(backend) <= MAX_ID_CHARS:
+            return error_response(400, "host must be the id of a backend")
+        return AdminRequest(self.endpoint, backend)
 
     def encode(self, verdict: AdminResponse) -> bytes:
         headers = [(b"Content-Type", b"application/json")]
--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -43,7 +43,7 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         """By path."""
 
-    def between(
+    def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
         """Who takes invocations and who turns them away unread: the same two, or such that look on."""
--- a/thornladder/node/handover.py
+++ b/thornladder/node/handover.py
@@ -50,7 +50,7 @@
 ANY = Deployment()  # of files that hold nothing of a deployment's
 
 
-class Sheet:
+class StateFile:
     """One small checked file. What is missing, torn, of another node, deployment or version reads as None."""
 
     def __init__(self, folder: str, node: str, what: str, deployment: Deployment = ANY) -> None:
@@ -175,7 +175,7 @@
     FRESH = 10.0  # seconds: about as long as a load lasts
 
     def __init__(self, folder: str, node: str, deployment: Deployment = ANY) -> None:
-        self.sheet = Sheet(folder, node, "learned", deployment)
+        self.sheet = StateFile(folder, node, "learned", deployment)
         self.written, self.at = Learned({}), -self.FRESH
 
     def load(self, now: float) -> Learned:
@@ -200,7 +200,7 @@
     """Maintenance on the disk: each id's last call. Two processes may add to it; the later call holds."""
 
     def __init__(self, folder: str, node: str, deployment: Deployment = ANY) -> None:
-        self.sheet = Sheet(folder, node, "maintenance", deployment)
+        self.sheet = StateFile(folder, node, "maintenance", deployment)
         self.lock = self.sheet.path.with_name(f"{self.sheet.path.name}-lock")
         self.seen: tuple[int, int] | None = None
 
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -34,7 +34,7 @@
         return self.offset + time.monotonic()
 
 
-class Lag:
+class EventLoopLag:
     """How late this node has lately been: the worst of a second or so, by its own timers."""
 
     LATE = 0.005  # seconds: under it a wait is no more than an answer's way back
@@ -44,7 +44,7 @@
         self.worst = 0.0
 
     @property
-    def late(self) -> bool:
+    def is_late(self) -> bool:
         """Whether what comes has waited for long enough to ask how long."""
         return self.worst > self.LATE
 
@@ -68,7 +68,7 @@
         self.clock, self.tasks, self.logger = clock, tasks, log
         self.maintenance = maintenance or Maintenance()
         self.began, self.told = clock(), False  # told: discovery has answered since the start
-        self.lag = Lag()
+        self.lag = EventLoopLag()
         self.exchanges: dict[str, Exchange] = {}
         self.pending: Counter[str] = Counter()  # timers by name
         self.awake_at = self.began  # when it last noted that it reads what comes
@@ -136,7 +136,7 @@
         self._tell_of(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
         return True
 
-    def turns_away(self, offering: str, time_left: float, waited: float) -> float | None:
+    def shed_retry_after(self, offering: str, time_left: float, waited: float) -> float | None:
         """When to come back, if the module turns this away before it is read."""
         try:
             return self.node.turns_away(self.clock(), offering, time_left - self.WAY_BACK, waited)
@@ -187,7 +187,7 @@
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
         self._tell(self.node.on_probe_ended, backend, outcome, report)
 
-    def list_told(self, answer: DiscoveryResponse | None) -> None:
+    def on_list_answer(self, answer: DiscoveryResponse | None) -> None:
         if answer is None:
             self.logger.warning("a call for the list failed")
             self._tell(self.node.on_list, ListKind.UNAVAILABLE, [], self._deaf_at)
@@ -272,7 +272,7 @@
         await anyio.sleep(max(delay, 0.0))  # the library takes a negative one as an error
         late = self.clock() - due
         self.lag.seen(late)
-        if self.lag.late:
+        if self.lag.is_late:
             self._tell(self.node.on_late, late)
         self.pending[name] -= 1
         if not self._tell(self.node.on_timer, name) and not self.pending[name]:
--- a/thornladder/node/operations.py
+++ b/thornladder/node/operations.py
@@ -41,7 +41,7 @@
             return self.stand_by(False)
         return self.mark(call.backend_id, call.endpoint is Endpoint.ENTER_MAINTENANCE)
 
-    def status(self) -> Verdict:
+    def status(self) -> AdminResponse:
         ready = self.host.list_known and self.front.is_open
         facts = {
             "ready": ready, "standby": self.front.server_state.standby,
@@ -52,9 +52,9 @@
         }  # fmt: skip
         return AdminResponse(200 if ready else 503, facts)
 
-    def stand_by(self, standby: bool) -> Verdict:
+    def stand_by(self, standby: bool) -> AdminResponse:
         if self.front.server_state.draining:
-            return no(503, "this process is leaving")
+            return error_response(503, "this process is leaving")
         if standby != self.front.server_state.standby:
             self.front.set_standby(standby)
             self.log.info("standby" if standby else "active")
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -14,7 +14,7 @@
 
 from thornladder import settings
 from thornladder.fields import MalformedError
-from thornladder.node.admin.server import Admin
+from thornladder.node.admin.server import AdminServer
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import Pushes
 from thornladder.node.clients.connection import ServerState
@@ -39,7 +39,11 @@
 
 
 async def run(
-    config: Config, known: DiscoveryResponse, log: Any, path: str = "", companions: Sequence[Companion] = ()
+    config: Config,
+    known: DiscoveryResponse,
+    log: Any,
+    path: str = "",
+    extensions: Sequence[NodeExtension] = (),
 ) -> None:
     """`path` names the file that the configuration came from, to be read again on SIGHUP."""
     clock = Clock()
@@ -63,19 +67,21 @@
         pushes = Pushes(
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
         )
-        watch = Watch(config.discovery, known.version, tasks, host.list_told, log, pushed=config.list_is_told)
+        watch = Watch(
+            config.discovery, known.version, tasks, host.on_list_answer, log, pushed=config.list_is_told
+        )
         host.start(
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
-        handler, shed_policy = host, host.turns_away
-        for each in companions:
-            handler, shed_policy = each.between(handler, shed_policy)
+        handler, shed_policy = host, host.shed_retry_after
+        for each in extensions:
+            handler, shed_policy = each.wrap(handler, shed_policy)
         server_state = ServerState(
-            handler, host.node.offerings, clock, held, lambda: host.lag.late, shed_policy, log
+            handler, host.node.offerings, clock, held, lambda: host.lag.is_late, shed_policy, log
         )
         asking = max(round(ASKING * config.sockets), 4)
         front = Front(server_state, clients, tasks, config.inherited is not None, asking)
-        further = {path: call for each in companions for path, call in each.calls().items()}
+        further = {path: call for each in extensions for path, call in each.admin_endpoints().items()}
         operations = Operations(host, front, handover.marks.add, log, further)
         tasks.keep("a look at idle connections", _sweep, front, pushes)
         tasks.keep("the handover", handover.run, host, front, pool, held)
@@ -84,9 +90,9 @@
             partial(handover.count, host), lambda: reload.config.raw["settings"],
         )  # fmt: skip
         reload = Reload(path, config, Parts(host, server_state, pushes, watch, handover), log)
-        for each in companions:
-            each.start(around)
-        await group.start(_heed_signals, front, reload, handover, tasks, log, companions)
+        for each in extensions:
+            each.start(context)
+        await group.start(_heed_signals, front, reload, handover, tasks, log, extensions)
         tasks.start("opening the door", _open, front, host, handover, tasks, listener)
         if second:
             admin = AdminServer(operations, tasks, log, {path: call.method for path, call in further.items()})
@@ -289,9 +295,9 @@
 async def _leave(front: Front, tasks: Tasks, log: Any, extensions: Sequence[NodeExtension]) -> None:
     try:
         await front.drain()
-        for each in companions:
+        for each in extensions:
             with anyio.move_on_after(LAST_WORD):
-                await each.leave(front.server_state.has_successor)
+                await each.stop(front.server_state.has_successor)
         log.info("left")
     finally:
         tasks.end()
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -15,7 +15,7 @@
 
 from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import ShedPolicy
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import ClientResponse, FinalOutcome
 
@@ -34,7 +34,7 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {}
 
-    def between(
+    def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
         self.handler = handler
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -381,7 +381,7 @@
             pushes = Pushes(pool, self.schedule.grace, False, BodyBudget(2**20), tasks, host, clock, self.log)
             lines = [listed(f"s{number}", "in_service") for number in range(self.schedule.backends)]
             known = messages.decode_list({"generation": 1, "reset": True, "instances": lines})
-            watch = Watch(("list", 0), 1, tasks, host.list_told, self.log, connect=self.service.connect,
+            watch = Watch(("list", 0), 1, tasks, host.on_list_answer, self.log, connect=self.service.connect,
                           pushed=self.schedule.pushed)  # fmt: skip
             pushed = self.schedule.pushed
             host.start(pushes, watch, known, self.schedule.seed, pushed, decisions(1, pushed))
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -22,7 +22,7 @@
 from thornladder.node.admin.calls import AdminRequest, AdminResponse
 from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import ShedPolicy
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import ClientResponse, FinalOutcome
 
@@ -67,7 +67,7 @@
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {"/counters": ExtensionEndpoint(b"GET", self.snapshot)}
 
-    def between(
+    def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
         def turned(offering: str, time_left: float, waited: float) -> float | None:
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -30,7 +30,7 @@
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, Endpoint, error_response
 from thornladder.node.admin.server import AdminServer
 from thornladder.node.companion import ExtensionEndpoint
-from thornladder.node.handover import Sheet
+from thornladder.node.handover import StateFile
 from thornladder.node.tasks import Tasks
 from thornladder.rollout.core import Seen
 from thornladder.rollout.counters import settings_digest
@@ -97,7 +97,7 @@
     def __init__(self, config: KeeperConfig, log: Any) -> None:
         self.config, self.log = config, log
         self.folder = Path(config.folder)
-        self.sheet = Sheet(config.folder, config.name, "orders")
+        self.sheet = StateFile(config.folder, config.name, "orders")
         self.held = self._kept()
         self.process: Process | None = None
         self.refused: tuple[tuple[int, int], str] = ((0, 0), "")  # of which line, why
