--- a/tests/harness.py
+++ b/tests/harness.py
@@ -58,7 +58,7 @@
     final: str = ""
 
 
-class Bench:
+class FakeHost:
     """Plays the host; every call is checked against the rules as it is made."""
 
     def __init__(
@@ -67,12 +67,12 @@
     ) -> None:  # fmt: skip
         self.now, self.soft_removal = 100.0, soft_removal
         self.accounts: dict[str, Account] = {}
-        self.places: dict[str, Entry] = {}
+        self.entries: dict[str, Entry] = {}
         self.listed: set[str] = set()
         self.timers: list[tuple[float, str]] = []
         self.probes: list[str] = []
         self.watches = 0
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.copies = copies
         limits = Limits(
             max_pushes=4, hedging=copies, cancellation=True, probes=probes, max_retry_after=0.5,
@@ -99,7 +99,7 @@
         if maybe and account.offering.idempotency is not Idempotency.REPEATABLE:
             assert account.offering.idempotency is Idempotency.TAGGED, "once-only pushed again"
             first, sent = maybe[0]
-            here, there = self.places[backend], self.places[first]
+            here, there = self.entries[backend], self.entries[first]
             if account.offering.dedup_scope == "zone":
                 assert here.zone == there.zone
             elif account.offering.dedup_scope == "cell":
@@ -134,8 +134,8 @@
     def watch_list(self) -> None:
         self.watches += 1
 
-    def log(self, words: str) -> None:
-        self.lines.append(words)
+    def log(self, message: str) -> None:
+        self.log_lines.append(message)
 
     # What happens to the node.
 
@@ -144,11 +144,11 @@
         return [push for number, push in enumerate(account.pushes)
                 if number not in account.ended or not account.ended[number].never_ran]  # fmt: skip
 
-    def list(self, entries: list[Entry], kind: ListKind = ListKind.SNAPSHOT) -> None:
+    def send_list(self, entries: list[Entry], kind: ListKind = ListKind.SNAPSHOT) -> None:
         if kind in (ListKind.SNAPSHOT, ListKind.RESTORED) and not self.soft_removal:
             self.listed.clear()
         for line in entries:
-            self.places[line.backend] = line
+            self.entries[line.backend] = line
             if line.state is State.RUNNING:
                 self.listed.add(line.backend)
             elif line.state is State.DRAINING or not self.soft_removal:
@@ -157,14 +157,16 @@
         if kind is ListKind.RESTORED:
             self.node.on_list(self.now, ListKind.DELTA, [])  # the watch stands
 
-    def come(self, id: str, name: str = "look", left: float | None = None, tenant: str = "t") -> Account:
+    def submit(
+        self, id: str, name: str = "look", time_left: float | None = None, tenant: str = "t"
+    ) -> Account:
         offering = next(offering for offering in OFFERINGS if offering.name == name)
-        left = offering.cut_off if left is None else left
-        account = self.accounts[id] = Account(offering, self.now + left)
-        self.node.on_invocation(self.now, Invocation(id, name, tenant, left, None, False))
+        time_left = offering.cut_off if time_left is None else time_left
+        account = self.accounts[id] = Account(offering, self.now + time_left)
+        self.node.on_invocation(self.now, Invocation(id, name, tenant, time_left, None, False))
         return account
 
-    def end(self, id: str, number: int, outcome: Outcome) -> None:
+    def end_push(self, id: str, number: int, outcome: Outcome) -> None:
         account = self.accounts[id]
         account.ended[number] = outcome
         if outcome is Outcome.COMPLETED and not account.final:
@@ -172,30 +174,32 @@
         sent = account.pushes[number][1]
         self.node.on_push_ended(self.now, id, number, outcome, self.now - sent, bool(account.final))
 
-    def probed(self, backend: str, outcome: Outcome, report: LoadReport = NO_REPORT) -> None:
+    def answer_probe(self, backend: str, outcome: Outcome, report: LoadReport = NO_REPORT) -> None:
         self.node.on_probe_ended(self.now, backend, outcome, report)
 
     def lose(self, id: str) -> str:
         """Neither this push nor the next one to its backend gets a connection. All others are completed."""
         backend, step = self.accounts[id].pushes[0][0], 0
-        self.end(id, 0, Outcome.UNREACHABLE)
+        self.end_push(id, 0, Outcome.UNREACHABLE)
         met = False
         while not met:
             step += 1
             assert step < 200, "its backend gets no other"
             self.advance(0.01)
-            account = self.come(f"{id}{step}", tenant="")
+            account = self.submit(f"{id}{step}", tenant="")
             self.advance(0.01)
             for number, (each, _) in enumerate(account.pushes):
                 met |= each == backend
-                self.end(f"{id}{step}", number, Outcome.UNREACHABLE if each == backend else Outcome.COMPLETED)
+                self.end_push(
+                    f"{id}{step}", number, Outcome.UNREACHABLE if each == backend else Outcome.COMPLETED
+                )
         return backend
 
-    def leave(self, id: str) -> None:
+    def disconnect_client(self, id: str) -> None:
         self.accounts[id].final = self.accounts[id].final or "left"
         self.node.on_client_gone(self.now, id)
 
-    def open(self) -> list[tuple[str, int]]:
+    def open_pushes(self) -> list[tuple[str, int]]:
         return [(id, number) for id, account in self.accounts.items()
                 for number in range(len(account.pushes)) if number not in account.ended]  # fmt: skip
 
@@ -210,17 +214,22 @@
 
     def complete_all(self, took: float = 0.01) -> None:
         self.advance(took)
-        for id, number in self.open():
-            self.end(id, number, Outcome.COMPLETED)
+        for id, number in self.open_pushes():
+            self.end_push(id, number, Outcome.COMPLETED)
 
 
 # The node on loopback sockets.
 
 
-UNFORESEEN = ("a decision failed", "a push failed", "a watch failed", "a look at idle connections failed")
+UNEXPECTED_ERRORS = (
+    "a decision failed",
+    "a push failed",
+    "a watch failed",
+    "a look at idle connections failed",
+)
 
 
-class Log:
+class RecordingLog:
     """Keeps the lines of a node's log, and tells when one comes."""
 
     def __init__(self) -> None:
@@ -229,18 +238,18 @@
     def __getattr__(self, level: str) -> Callable[..., None]:
         return lambda event, **facts: self.lines.append((event, facts))
 
-    def facts(self, event: str) -> dict | None:
+    def find(self, event: str) -> dict | None:
         return next((facts for line, facts in self.lines if line == event), None)
 
 
-async def until(condition: Callable[[], object], span: float = 5.0) -> None:
+async def wait_until(condition: Callable[[], object], span: float = 5.0) -> None:
     with anyio.fail_after(span):
         while not condition():
             await anyio.sleep(0.002)
 
 
 @dataclass
-class Got:
+class ReceivedMessage:
     """One invocation as a peer received it whole."""
 
     method: str
@@ -249,7 +258,7 @@
     body: bytes
 
 
-class Peer:
+class FakeServer:
     """A backend or a discovery service: answers each message by `answer`, whose bytes go out as they are.
 
     None: silent until the other side closes; b"": closes at once; bytes that end with CUT: closes after them.
@@ -257,9 +266,9 @@
 
     CUT = b"<cut>"
 
-    def __init__(self, answer: Callable[[Got], bytes | None]) -> None:
+    def __init__(self, answer: Callable[[ReceivedMessage], bytes | None]) -> None:
         self.answer = answer
-        self.got: list[Got] = []
+        self.got: list[ReceivedMessage] = []
         self.heads: list[str] = []  # ids of all whose head came, whole or not
         self.opened = 0
         self.closed = 0  # connections that the other side ended
@@ -294,7 +303,7 @@
                         body += bytes(event.data)
                     elif isinstance(event, h11.EndOfMessage):
                         headers = {name.decode(): value.decode() for name, value in request.headers}
-                        got = Got(request.method.decode(), request.target.decode(), headers, body)
+                        got = ReceivedMessage(request.method.decode(), request.target.decode(), headers, body)
                         self.got.append(got)
                         data = self.answer(got)
                         if data is None:
@@ -314,7 +323,7 @@
         self.closed += 1
 
 
-READY = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
+READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
 def reply(status: int, body: bytes = b"done", **headers: str) -> bytes:
@@ -338,7 +347,7 @@
 }  # fmt: skip
 
 
-def listed(number: int, port: int, state: str = "in_service") -> dict:
+def list_line(number: int, port: int, state: str = "in_service") -> dict:
     return {"instanceId": f"s{number}", "hostPort": f"127.0.0.1:{port}", "zone": "xy"[number % 2],
             "cell": number, "lifecycle": state, "weight": 1.0, "startedAtMs": 0,
             "machineType": "plain"}  # fmt: skip
@@ -352,7 +361,7 @@
             "known": {"generation": 1, "reset": True, "instances": backends}}  # fmt: skip
 
 
-def news(version: int, *instances: dict, whole: bool = False) -> bytes:
+def list_reply(version: int, *instances: dict, whole: bool = False) -> bytes:
     return reply(200, json.dumps({"generation": version, "reset": whole, "instances": instances}).encode())
 
 
@@ -372,7 +381,7 @@
         data = self.wire.send(request) + (self.wire.send(h11.Data(data=body)) if body else b"")
         await self.stream.send(data + self.wire.send(h11.EndOfMessage()))
 
-    async def raw(self, data: bytes) -> Got:
+    async def raw(self, data: bytes) -> ReceivedMessage:
         """Sends these bytes and reads what is answered, whatever they are."""
         await self.stream.send(data)
         self.wire = h11.Connection(h11.CLIENT)
@@ -380,7 +389,7 @@
         self.wire.send(h11.EndOfMessage())
         return await self.answer()
 
-    async def answer(self) -> Got:
+    async def answer(self) -> ReceivedMessage:
         """The answer as it came; its status stands in `target`."""
         head, body = None, b""
         with anyio.fail_after(5.0):
@@ -399,16 +408,16 @@
         if self.wire.states[h11.CLIENT] is h11.DONE and self.wire.states[h11.SERVER] is h11.DONE:
             self.wire.start_next_cycle()
         headers = {name.decode(): value.decode() for name, value in head.headers}
-        return Got("", str(head.status_code), headers, body)
+        return ReceivedMessage("", str(head.status_code), headers, body)
 
-    async def answer_to(self, id: str) -> Got:
+    async def answer_to(self, id: str) -> ReceivedMessage:
         """The answer to what was sent as bare bytes."""
         self.wire = h11.Connection(h11.CLIENT)
         self.wire.send(h11.Request(method="GET", target="/", headers=[("Host", "a"), ("X-Call-Id", id)]))
         self.wire.send(h11.EndOfMessage())
         return await self.answer()
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Got:
+    async def ask(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
         await self.send(*args, **kwargs)
         return await self.answer()
 
@@ -421,10 +430,10 @@
             await stream.send(
                 f"{method} {path} HTTP/1.1\r\nHost: a\r\n".encode() + size + b"\r\n" + (body or b"")
             )
-            return await called(stream)
+            return await read_reply(stream)
 
 
-async def called(stream: anyio.abc.SocketStream) -> tuple[int, dict]:
+async def read_reply(stream: anyio.abc.SocketStream) -> tuple[int, dict]:
     text = b""
     with suppress(anyio.EndOfStream):
         while True:
@@ -434,42 +443,44 @@
     return int(head.split()[1]), json.loads(body or b"{}")
 
 
-class Bank:
+class LoopbackCluster:
     """One node, some backends and a discovery service on loopback."""
 
     def __init__(
         self,
-        *answers: Callable[[Got], bytes | None],
+        *answers: Callable[[ReceivedMessage], bytes | None],
         sockets: int = 1024,
         memory: int = 192,
-        tells: Callable[[Got], bytes | None] = lambda got: news(1) if got.target.endswith("=0") else None,
+        tells: Callable[[ReceivedMessage], bytes | None] = lambda got: (
+            list_reply(1) if got.target.endswith("=0") else None
+        ),
         info: dict | None = None,
     ) -> None:
-        self.backends = [Peer(answer) for answer in answers]
-        self.discovery = Peer(tells)
-        self.log, self.sockets, self.memory, self.info = Log(), sockets, memory, info
+        self.backends = [FakeServer(answer) for answer in answers]
+        self.discovery = FakeServer(tells)
+        self.log, self.sockets, self.memory, self.info = RecordingLog(), sockets, memory, info
 
-    async def __aenter__(self) -> Bank:
+    async def __aenter__(self) -> LoopbackCluster:
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
         for peer in (*self.backends, self.discovery):
             await self.tasks.start(peer.serve)
-        lines = [listed(number, peer.port) for number, peer in enumerate(self.backends)]
+        lines = [list_line(number, peer.port) for number, peer in enumerate(self.backends)]
         file = config(lines, self.discovery.port, self.sockets, self.memory, self.info)
         file["admin_addr"] = "127.0.0.1:0"
         self.folder = tempfile.TemporaryDirectory()
         given = settings.decode(file, {"TMPDIR": self.folder.name})
         self.tasks.start_soon(service.run, given, messages.decode_list(given.known), self.log)
-        await until(lambda: self.log.facts("serving"))
-        self.port = self.log.facts("serving")["listen"][1]
-        self.admin = self.log.facts("serving")["admin"][1]
+        await wait_until(lambda: self.log.find("serving"))
+        self.port = self.log.find("serving")["listen"][1]
+        self.admin = self.log.find("serving")["admin"][1]
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.tasks.cancel_scope.cancel()
         await self.tasks.__aexit__(None, None, None)
         self.folder.cleanup()
-        assert not [line for line, _ in self.log.lines if line in UNFORESEEN]
+        assert not [line for line, _ in self.log.lines if line in UNEXPECTED_ERRORS]
 
     async def call(self, method: str, path: str, body: bytes | None = None) -> tuple[int, dict]:
         return await call(self.admin, method, path, body)
@@ -477,7 +488,7 @@
     async def client(self) -> Client:
         return Client(await anyio.connect_tcp("127.0.0.1", self.port))
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Got:
+    async def ask(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
         client = await self.client()
         async with client.stream:
             return await client.ask(*args, **kwargs)
--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -10,7 +10,7 @@
 
 import anyio
 import pytest
-from harness import SETTINGS, Got, Log, Peer, config, listed, reply, until
+from harness import SETTINGS, FakeServer, ReceivedMessage, RecordingLog, config, list_line, reply, wait_until
 from test_process import connect, running_node
 
 from thornladder import settings
@@ -50,11 +50,11 @@
 
 
 def test_a_folder_of_another_deployment_is_named_once_and_written_over(tmp_path: Path) -> None:
-    file = config([listed(0, 1)], 1)
+    file = config([list_line(0, 1)], 1)
     given = settings.decode(file, {"TMPDIR": str(tmp_path)})
     Lessons(str(tmp_path), "n", OTHERS).keep(Learned({"s0": 100.0}, 4.5), 104.0)
     Marks(str(tmp_path), "n", OTHERS).add({"s0": Mark(True, 90.0)})
-    log = Log()
+    log = RecordingLog()
     handover = Handover(given, log)
     maintenance = handover.begin(105.0)
     assert handover.learned == Learned({}) and not maintenance.knows("s0")
@@ -72,11 +72,11 @@
     # SIGHUP brings other classes while one is out, is answered with an error and is sent again.
     gate, tried, seen = anyio.Event(), anyio.Event(), []
 
-    def answer(got: Got) -> bytes | None:
+    def answer(got: ReceivedMessage) -> bytes | None:
         seen.append(got.headers["x-call-id"])
         return reply(503, X_Rejected="1") if seen.count("a") == 1 and seen[-1] == "a" else reply(200)
 
-    class Held(Peer):
+    class Held(FakeServer):
         async def _talk(self, stream: anyio.abc.SocketStream) -> None:
             tried.set()
             await gate.wait()
@@ -102,4 +102,4 @@
         gate.set()
         assert (await first.answer()).target == "200" and seen.count("a") == 2
         assert (await (await connect(port)).ask("b", "door", 700)).target == "200"
-        await until(lambda: "b" in seen)
+        await wait_until(lambda: "b" in seen)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 from fractions import Fraction
 
 import pytest
-from harness import SETTINGS, Bench, entry
+from harness import SETTINGS, FakeHost, entry
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -85,19 +85,19 @@
     steps: list[str], rule: tuple[float, float, float], seed: int
 ) -> None:
     """Counted at the host: a push beyond the first, unless it turned out not to have been sent."""
-    bench = Bench(seed, further=RetryBudgetRule(*rule))
-    bench.list([entry(n) for n in range(8)])
+    bench = FakeHost(seed, further=RetryBudgetRule(*rule))
+    bench.send_list([entry(n) for n in range(8)])
     taken: list[float] = []
     ends = {"break": Outcome.CONNECTION_LOST, "full": Outcome.REJECTED, "unsent": Outcome.NOT_SENT,
             "done": Outcome.COMPLETED}  # fmt: skip
     for number, step in enumerate(steps):
         if step == "come":
             taken.append(bench.now)
-            bench.come(f"i{number}", ("look", "mark", "note")[number % 3])
+            bench.submit(f"i{number}", ("look", "mark", "note")[number % 3])
         elif step == "wait":
             bench.advance(0.3)
-        elif bench.open():
-            bench.end(*bench.open()[0], ends[step])
+        elif bench.open_pushes():
+            bench.end_push(*bench.open_pushes()[0], ends[step])
         further = [
             sent for account in bench.accounts.values() for number, (_, sent) in enumerate(account.pushes)
             if number and account.ended.get(number) is not Outcome.NOT_SENT
@@ -111,11 +111,11 @@
 
 
 def test_without_budget_left_an_invocation_is_answered_at_once() -> None:
-    bench = Bench(further=RetryBudgetRule(1.0, 0.0, 5.0))
-    bench.list([entry(n) for n in range(8)])
+    bench = FakeHost(further=RetryBudgetRule(1.0, 0.0, 5.0))
+    bench.send_list([entry(n) for n in range(8)])
     for id in "ab":
-        bench.come(id, "pay")
-        bench.end(id, 0, Outcome.REJECTED)
+        bench.submit(id, "pay")
+        bench.end_push(id, 0, Outcome.REJECTED)
     assert len(bench.accounts["a"].pushes) == 2 and bench.accounts["b"].final == "nacked"
 
 
@@ -132,11 +132,11 @@
     return entry(number, state)._replace(zone="x")
 
 
-def serving(bench: Bench) -> set[str]:
+def serving(bench: FakeHost) -> set[str]:
     """To which backends pushes go, all being sound."""
     met = set()
     for step in range(80):
-        account = bench.come(f"s{bench.now}.{step}", tenant="")
+        account = bench.submit(f"s{bench.now}.{step}", tenant="")
         bench.complete_all(0.02)
         met.add(account.pushes[0][0])
     return met
@@ -145,33 +145,33 @@
 @pytest.mark.parametrize("how", ["gone", "off the list"])
 def test_where_gone_does_not_bind_a_backend_goes_on_until_it_is_dead(how: str) -> None:
     """Drains do bind, also when the same backend is called gone later, until it is listed as running."""
-    bench = Bench(soft_removal=True)
+    bench = FakeHost(soft_removal=True)
     entries = [here(n) for n in range(6)]
-    bench.list(entries)
+    bench.send_list(entries)
     bench.advance(6.0)
 
     def leaves(number: int, state: State) -> None:
         if how == "gone" or state is State.DRAINING:
-            bench.list([here(number, state)], ListKind.DELTA)
+            bench.send_list([here(number, state)], ListKind.DELTA)
         else:
-            bench.list([each for each in entries if each.backend not in {f"b{number:02}", "b01"}])
+            bench.send_list([each for each in entries if each.backend not in {f"b{number:02}", "b01"}])
 
     leaves(1, State.DRAINING)
     leaves(1, State.GONE)
     leaves(2, State.GONE)
     assert serving(bench) == {"b00", "b02", "b03", "b04", "b05"}
-    while bench.node.health.view(bench.node.roster.known["b02"]).cause != "dead":
-        bench.come(f"d{bench.now}", tenant="")
+    while bench.node.health.view(bench.node.registry.backends["b02"]).cause != "dead":
+        bench.submit(f"d{bench.now}", tenant="")
         bench.advance(0.02)
-        for id, number in bench.open():
+        for id, number in bench.open_pushes():
             lost = bench.accounts[id].pushes[number][0] == "b02"
-            bench.end(id, number, Outcome.UNREACHABLE if lost else Outcome.COMPLETED)
+            bench.end_push(id, number, Outcome.UNREACHABLE if lost else Outcome.COMPLETED)
     bench.complete_all()
     bench.advance(8.0)
     assert "b02" not in serving(bench), "found dead, it is gone as the list says"
-    assert {backend.id for backend in bench.node.roster.usable} == {"b00", "b03", "b04", "b05"}
-    bench.list([here(1), here(2)], ListKind.DELTA)
-    assert {"b01", "b02"} <= {backend.id for backend in bench.node.roster.usable}
+    assert {backend.id for backend in bench.node.registry.usable} == {"b00", "b03", "b04", "b05"}
+    bench.send_list([here(1), here(2)], ListKind.DELTA)
+    assert {"b01", "b02"} <= {backend.id for backend in bench.node.registry.usable}
 
 
 BAD = [
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -12,7 +12,7 @@
 
 import anyio
 import pytest
-from harness import SETTINGS, Bank, Got, Peer, reply, until
+from harness import SETTINGS, FakeServer, LoopbackCluster, ReceivedMessage, reply, wait_until
 
 from thornladder.node import streams
 from thornladder.node.backends.pool import Pool
@@ -24,7 +24,7 @@
 RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: close sends a reset
 
 
-def done(_: Got) -> bytes:
+def done(_: ReceivedMessage) -> bytes:
     return reply(200)
 
 
@@ -86,7 +86,7 @@
 ENDS = pytest.mark.parametrize("end", [close, reset, half_close])
 
 
-async def settled(bank: Bank, peer: Peer) -> None:
+async def settled(bank: LoopbackCluster, peer: FakeServer) -> None:
     """Returns when the node has served another client since: what was to come of the first has come."""
     before = len(peer.got)
     assert (await bank.ask("later", "look")).target == "200"
@@ -101,13 +101,13 @@
 ) -> None:
     # Where nothing may be cancelled the attempt went out all the same, up to 1.5 s after its client had gone.
     gate = Gate(monkeypatch)
-    async with Bank(done, info=info(Cancelling=cancelling)) as bank:
+    async with LoopbackCluster(done, info=info(Cancelling=cancelling)) as bank:
         raw = client(bank.port)
         raw.sendall(asks("aa", name))
-        await until(lambda: gate.waiting == 1)
+        await wait_until(lambda: gate.waiting == 1)
         end(raw)
         gate.open.set()
-        await until(lambda: gate.passed == 1)
+        await wait_until(lambda: gate.passed == 1)
         await settled(bank, bank.backends[0])
         assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["later"]
         raw.close()
@@ -118,10 +118,10 @@
     end: Callable[[socket.socket], None],
 ) -> None:
     # A node that is late reads the request first: its reading task hears of the end a turn after the attempt.
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         raw = client(bank.port)
         raw.sendall(asks("a0"))
-        await until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].got)
         assert (await anyio.to_thread.run_sync(raw.recv, 65536)).startswith(b"HTTP/1.1 200")
         raw.sendall(asks("a1"))
         end(raw)
@@ -136,17 +136,17 @@
 ) -> None:
     # Back-pressure keeps the body's rest, and the end behind it, in the kernel, where no reading task looks.
     gate = Gate(monkeypatch)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         raw = client(bank.port)
         raw.sendall(asks("aa", "pay", length=6 * MOST_WHOLE) + b"x" * (MOST_WHOLE + 1))
-        await until(lambda: gate.waiting == 1)
+        await wait_until(lambda: gate.waiting == 1)
         raw.sendall(b"x" * 20_000)
         raw.sendall(b"x" * 20_000)
         # What the client's own kernel still holds keeps its end back as well: nobody can see that one.
-        await until(lambda: unsent(raw) == 0)
+        await wait_until(lambda: unsent(raw) == 0)
         end(raw)
         gate.open.set()
-        await until(lambda: gate.passed == 1)
+        await wait_until(lambda: gate.passed == 1)
         await settled(bank, bank.backends[0])
         assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["later"]
         assert bank.backends[0].heads == ["later"]
@@ -160,17 +160,17 @@
 ) -> None:
     ended: list[str] = []
 
-    def full(got: Got) -> bytes:
+    def full(got: ReceivedMessage) -> bytes:
         if got.headers["x-call-id"] == "aa" and not ended:
             end(raw)
             ended.append(got.headers["x-call-id"])
             return reply(503, X_Rejected="1")
         return reply(200)
 
-    async with Bank(full, full, full, info=info(Cancelling=cancelling)) as bank:
+    async with LoopbackCluster(full, full, full, info=info(Cancelling=cancelling)) as bank:
         raw = client(bank.port)
         raw.sendall(asks("aa"))
-        await until(lambda: ended)
+        await wait_until(lambda: ended)
         for number in range(6):
             assert (await bank.ask(f"b{number}", "look")).target == "200"
         ids = [got.headers["x-call-id"] for peer in bank.backends for got in peer.got]
@@ -184,7 +184,7 @@
     def fails(*_: object) -> None:
         raise OSError(24, "Too many open files")
 
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         found: list[ClientConnection] = []
         left = ClientConnection._left
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 
 import anyio
 import pytest
-from harness import Bank, Got, Peer, reply, until
+from harness import FakeServer, LoopbackCluster, ReceivedMessage, reply, wait_until
 
 from thornladder.node import streams
 from thornladder.node.backends.pool import Pool
@@ -22,14 +22,14 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-def done(got: Got) -> bytes:
+def done(got: ReceivedMessage) -> bytes:
     return reply(200, f"{got.headers.get('x-call-id')} done".encode())
 
 
-class Script(Peer):
+class Script(FakeServer):
     """A backend whose connections the test writes to and ends itself, after the answer to each request."""
 
-    def __init__(self, answer: Callable[[Got], bytes | None] = done) -> None:
+    def __init__(self, answer: Callable[[ReceivedMessage], bytes | None] = done) -> None:
         super().__init__(answer)
 
     async def _each(self, act: Callable[[Any], Awaitable[None]]) -> None:
@@ -73,7 +73,7 @@
     await peer.close()
 
 
-class Scripted(Bank):
+class Scripted(LoopbackCluster):
     def __init__(self, peer: Script, **given: Any) -> None:
         super().__init__(**given)
         self.backends = [peer]
@@ -92,14 +92,14 @@
         assert (await client.ask("a0", path, body=b"x")).body == b"a0 done"
         await BETWEEN[name](peer)
         line: list[Any] = []
-        await until(lambda: line or _idle(bank, line))
-        await until(lambda: not line[0].stream or streams.readable(line[0].stream))
+        await wait_until(lambda: line or _idle(bank, line))
+        await wait_until(lambda: not line[0].stream or streams.readable(line[0].stream))
         answer = await client.ask("a1", path, body=b"x")
         assert (answer.target, answer.body) == ("200", b"a1 done")
         assert peer.opened == 2
 
 
-def _idle(bank: Bank, found: list[Any]) -> bool:
+def _idle(bank: LoopbackCluster, found: list[Any]) -> bool:
     found += [line for pool in POOLS for lines in pool.idle.values() for line in lines]
     return bool(found)
 
@@ -132,7 +132,7 @@
         assert (await first.ask("a0", "look")).body == b"a0 done"
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(second.send, "a1", "pay")  # not moved elsewhere meanwhile
-            await until(lambda: POOLS and not any(POOLS[0].idle.values()))  # it is taken up
+            await wait_until(lambda: POOLS and not any(POOLS[0].idle.values()))  # it is taken up
             await peer.write(ANSWER)
         assert (await second.answer()).body == b"a1 done"
         assert peer.opened == 2
@@ -142,13 +142,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Pool, "REST", 0.3)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         client = await bank.client()
         assert (await client.ask("a0", "look")).target == "200"
         await client.send("a1", "look")
-        await until(lambda: not any(POOLS[0].idle.values()))
+        await wait_until(lambda: not any(POOLS[0].idle.values()))
         await client.stream.aclose()
-        await until(lambda: POOLS[0].held == 0)  # closed, and its place is free
+        await wait_until(lambda: POOLS[0].held == 0)  # closed, and its place is free
         assert (await bank.ask("a2", "look")).body == b"a2 done"
         assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["a0", "a2"]
 
@@ -158,7 +158,7 @@
 ) -> None:
     # The sweep makes the list of idle ones anew: who waited went on with the old one.
     monkeypatch.setattr(Pool, "REST", 0.4)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         clients = [await bank.client() for _ in range(3)]
         async with anyio.create_task_group() as tasks:
             for number, client in enumerate(clients):
@@ -166,7 +166,7 @@
         async with anyio.create_task_group() as tasks:
             for number, client in enumerate(clients):
                 tasks.start_soon(client.send, f"b{number}", "pay", 900, b"x")
-            await until(lambda: not any(POOLS[0].idle.values()))
+            await wait_until(lambda: not any(POOLS[0].idle.values()))
             await POOLS[0].sweep()
         answers = [await client.answer() for client in clients]
         assert [answer.body for answer in answers] == [f"b{number} done".encode() for number in range(3)]
@@ -194,7 +194,7 @@
 
     monkeypatch.setattr(Pool, "get", got)
     monkeypatch.setattr(ClientConnection, "_deliver", delivered)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         client = await bank.client()
         for number in range(2):
             assert (await client.ask(f"a{number}", "look")).target == "200"
@@ -229,7 +229,7 @@
             for _ in range(12):
                 count = len(peer.got)
                 with anyio.move_on_after(1.0):
-                    await until(lambda: len(peer.got) > count)  # noqa: B023
+                    await wait_until(lambda: len(peer.got) > count)  # noqa: B023
                 # Never an answer amid a request that is out: no node could tell that from its own.
                 name = rng.choice(["a close", "a reset"])
                 await BETWEEN[name](peer)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,17 @@
 
 import anyio
 import pytest
-from harness import Client, Got, Peer, call, config, listed, news, reply, until
+from harness import (
+    Client,
+    FakeServer,
+    ReceivedMessage,
+    call,
+    config,
+    list_line,
+    list_reply,
+    reply,
+    wait_until,
+)
 
 pytestmark = pytest.mark.anyio
 DESCRIPTORS = 72  # of the process, and as its settings say
@@ -25,7 +35,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def asked(port: int, id: str) -> Got:
+async def asked(port: int, id: str) -> ReceivedMessage:
     client = Client(await anyio.connect_tcp("127.0.0.1", port))
     async with client.stream:
         return await client.ask(id, "look")
@@ -48,14 +58,14 @@
 async def test_a_full_table_serves_sound_clients_and_finds_discovery_again(
     words: bytes, tmp_path: Path
 ) -> None:
-    backend = Peer(lambda _: reply(200))
+    backend = FakeServer(lambda _: reply(200))
     crowd: list[socket.socket] = []
     with socket.socket() as place:
         place.bind(("127.0.0.1", 0))  # and does not listen: discovery is down
         port = place.getsockname()[1]
         async with anyio.create_task_group() as tasks:
             await tasks.start(backend.serve)
-            file = config([listed(0, backend.port)], port, DESCRIPTORS) | {"admin_addr": "127.0.0.1:0"}
+            file = config([list_line(0, backend.port)], port, DESCRIPTORS) | {"admin_addr": "127.0.0.1:0"}
             path = tmp_path / "config.json"
             path.write_text(json.dumps(file))
             process = await anyio.open_process(
@@ -70,7 +80,7 @@
 
             tasks.start_soon(read)
             try:
-                await until(lambda: b'"serving"' in log and b"\n" in log, 20.0)
+                await wait_until(lambda: b'"serving"' in log and b"\n" in log, 20.0)
                 line = next(json.loads(line) for line in bytes(log).splitlines() if b'"serving"' in line)
                 door, admin = line["listen"][1], line["admin"][1]
                 for _ in range(32 if words else 3 * DESCRIPTORS):  # clients have 18 of them
@@ -91,10 +101,10 @@
                 await anyio.sleep(1.0)
                 assert spent(process.pid) - before < 0.6
                 # On its return discovery is asked again, though the crowd is still there.
-                discovery = Peer(lambda got: news(1) if got.target.endswith("=0") else None)
+                discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
                 place.listen(16)
                 tasks.start_soon(_serve_at, place, discovery, tasks)
-                await until(lambda: discovery.got, 10.0)
+                await wait_until(lambda: discovery.got, 10.0)
                 await served(door, "b")
                 text = bytes(log)
                 assert b"Traceback" not in text and b"could not be accepted" not in text
@@ -110,7 +120,7 @@
         assert process.returncode == 0
 
 
-async def _serve_at(place: socket.socket, peer: Peer, tasks: anyio.abc.TaskGroup) -> None:
+async def _serve_at(place: socket.socket, peer: FakeServer, tasks: anyio.abc.TaskGroup) -> None:
     place.setblocking(False)
     while True:
         await anyio.wait_readable(place)
--- a/tests/test_end_crossings.py
+++ b/tests/test_end_crossings.py
@@ -9,7 +9,7 @@
 
 import anyio
 import pytest
-from harness import READY, Client, Got, Peer, reply, until
+from harness import READY_REQUEST, Client, FakeServer, ReceivedMessage, reply, wait_until
 from test_process import connect, running_node
 
 from thornladder.node.messages import MOST_WHOLE
@@ -18,10 +18,10 @@
 LARGE = 3 * MOST_WHOLE
 
 
-class Gated(Peer):
+class Gated(FakeServer):
     """A backend that answers when its gate is open."""
 
-    def __init__(self, answers: Callable[[Got], bytes]) -> None:
+    def __init__(self, answers: Callable[[ReceivedMessage], bytes]) -> None:
         super().__init__(answers)
         self.gate, self.asked = anyio.Event(), 0
 
@@ -35,7 +35,7 @@
     """SIGTERM, and the node has taken it in."""
     process.send_signal(signal.SIGTERM)
     with anyio.fail_after(5.0):
-        while (await (await connect(port)).raw(READY)).target == "200":
+        while (await (await connect(port)).raw(READY_REQUEST)).target == "200":
             await anyio.sleep(0.005)
 
 
@@ -46,7 +46,7 @@
     ).encode()
 
 
-async def _half_a_head(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
+async def _half_a_head(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> ReceivedMessage:
     data = head("a", "pay", 1) + b"x"
     await client.stream.send(data[:40])
     await end()
@@ -55,7 +55,7 @@
     return await client.answer_to("a")
 
 
-async def _half_a_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
+async def _half_a_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> ReceivedMessage:
     await client.stream.send(head("a", "pay", 10) + b"12345")
     await end()
     await client.stream.send(b"67890")
@@ -63,24 +63,24 @@
     return await client.answer_to("a")
 
 
-async def _begun(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
+async def _begun(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> ReceivedMessage:
     await client.stream.send(head("a", "pay", 1) + b"x")
-    await until(lambda: backend.asked)
+    await wait_until(lambda: backend.asked)
     await end()
     backend.gate.set()
     return await client.answer_to("a")
 
 
-async def _large_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
+async def _large_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> ReceivedMessage:
     await client.stream.send(head("a", "pay", LARGE) + b"x" * (MOST_WHOLE + 1))
-    await until(lambda: backend.asked)
+    await wait_until(lambda: backend.asked)
     await end()
     backend.gate.set()
     await client.stream.send(b"x" * (LARGE - MOST_WHOLE - 1))
     return await client.answer_to("a")
 
 
-async def _rests(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
+async def _rests(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> ReceivedMessage:
     """A kept connection on which the next request comes as the node is about to close it."""
     backend.gate.set()
     assert (await client.ask("before", "pay", body=b"x")).target == "200"
@@ -120,7 +120,7 @@
 async def test_a_retry_at_the_end_goes_on_to_its_answer(tmp_path: Path) -> None:
     turned: list[str] = []
 
-    def answer(got: Got) -> bytes:
+    def answer(got: ReceivedMessage) -> bytes:
         turned.append(got.headers["x-call-id"])
         return reply(503, X_Rejected="1") if len(turned) == 1 else reply(200, b"second")
 
@@ -128,7 +128,7 @@
     async with running_node(tmp_path, *backends) as (process, port):
         client = await connect(port)
         await client.send("a", "pay", 900, b"x")
-        await until(lambda: any(backend.asked for backend in backends))
+        await wait_until(lambda: any(backend.asked for backend in backends))
         await leaving(process, port)
         for backend in backends:
             backend.gate.set()
@@ -137,12 +137,12 @@
 
 
 async def test_a_large_answer_that_goes_out_at_the_end_comes_whole(tmp_path: Path) -> None:
-    backend = Peer(lambda got: reply(200, b"y" * LARGE))
+    backend = FakeServer(lambda got: reply(200, b"y" * LARGE))
     async with running_node(tmp_path, backend) as (process, port):
         client = await connect(port)
         await client.send("a", "look", 900)
         # Nothing is read yet: what the kernels do not hold waits in the node.
-        await until(lambda: backend.got)
+        await wait_until(lambda: backend.got)
         await leaving(process, port)
         answer = await client.answer()
         assert (answer.target, len(answer.body)) == ("200", LARGE)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 
 import anyio
 import pytest
-from harness import Peer, reply
+from harness import FakeServer, reply
 from test_process import running_node
 
 from thornladder.fields import MalformedError
@@ -111,7 +111,7 @@
              "'thornladder.rig', 'thornladder.cli', 'thornladder.measures'))])")  # fmt: skip
     ended = subprocess.run([sys.executable, "-c", words], capture_output=True, text=True, check=True)
     assert ended.stdout == "[]\n"
-    async with running_node(tmp_path, Peer(lambda _: reply(200))) as (process, port):
+    async with running_node(tmp_path, FakeServer(lambda _: reply(200))) as (process, port):
         await anyio.sleep(0.3)
         kinds = [os.readlink(entry.path) for entry in os.scandir(f"/proc/{process.pid}/fd")]
         sockets = {kind[8:-1] for kind in kinds if kind.startswith("socket:")}
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -17,16 +17,16 @@
     OFFERINGS,
     SETTINGS,
     Account,
-    Bank,
-    Bench,
     Client,
-    Got,
-    Peer,
+    FakeHost,
+    FakeServer,
+    LoopbackCluster,
+    ReceivedMessage,
     entry,
-    listed,
-    news,
+    list_line,
+    list_reply,
     reply,
-    until,
+    wait_until,
 )
 from test_process import connect, running_node
 
@@ -40,11 +40,11 @@
 BODY = random.Random(5).randbytes(400_000)
 
 
-def large(got: Got) -> bytes:
+def large(got: ReceivedMessage) -> bytes:
     return reply(200, got.headers.get("x-call-id", "").encode() + BODY)
 
 
-def chunked(got: Got) -> bytes:
+def chunked(got: ReceivedMessage) -> bytes:
     body = got.headers.get("x-call-id", "").encode() + BODY
     parts = [body[at : at + 30_000] for at in range(0, len(body), 30_000)]
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (*parts, b""))
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("answer", [large, chunked])
 async def test_a_large_answer_is_passed_on_whole_and_its_connection_used_again(answer) -> None:
-    async with Bank(answer) as bank:
+    async with LoopbackCluster(answer) as bank:
         client = await bank.client()
         for number in range(3):
             got = await client.ask(f"a{number}", "pay", body=b"x")
@@ -75,7 +75,7 @@
         assert bank.backends[0].opened == 1
 
 
-async def narrow(bank: Bank) -> Client:
+async def narrow(bank: LoopbackCluster) -> Client:
     """A client whose kernel takes next to nothing ahead of it."""
     raw = socket.socket()
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -87,11 +87,11 @@
 @pytest.mark.parametrize("answer", [large, chunked])
 async def test_slow_readers_hold_no_more_than_their_part_of_the_memory(monkeypatch, answer) -> None:
     monkeypatch.setattr(service, "Held", Watched)
-    async with Bank(*[answer] * 8, memory=4) as bank:
+    async with LoopbackCluster(*[answer] * 8, memory=4) as bank:
         slow = [await narrow(bank) for _ in range(8)]
         for number, client in enumerate(slow):
             await client.send(f"a{number}", "pay", 900, b"x")  # of most utility: there is room for eight
-        await until(lambda: Watched.last.bytes >= 4 * COST)
+        await wait_until(lambda: Watched.last.bytes >= 4 * COST)
         answers = []
 
         async def read(client) -> None:
@@ -104,19 +104,19 @@
         assert [got.target for got in answers] == ["200"] * 8
         assert all(len(got.body) == len(BODY) + 2 for got in answers)
         assert Watched.last.top <= Watched.last.most + COST  # one at a time goes past it
-        await until(lambda: Watched.last.bytes == 0)
+        await wait_until(lambda: Watched.last.bytes == 0)
 
 
 async def test_a_client_that_leaves_amid_a_large_answer_ends_it_at_its_backend(monkeypatch) -> None:
     monkeypatch.setattr(service, "Held", Watched)
     monkeypatch.setitem(globals(), "BODY", bytes(20_000_000))
-    async with Bank(large) as bank:
+    async with LoopbackCluster(large) as bank:
         for number in range(3):
             client = await narrow(bank)
             await client.send(f"a{number}", "look")
-            await until(lambda: Watched.last.bytes == COST)
+            await wait_until(lambda: Watched.last.bytes == COST)
             await client.stream.aclose()
-            await until(lambda: Watched.last.bytes == 0)
+            await wait_until(lambda: Watched.last.bytes == 0)
         monkeypatch.setitem(globals(), "BODY", b"")
         assert (await bank.ask("b", "look")).target == "200"
 
@@ -125,7 +125,7 @@
     half = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(90_000)
     slow = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n"
     for text in (half, slow):
-        async with Bank(lambda _, text=text: text) as bank:
+        async with LoopbackCluster(lambda _, text=text: text) as bank:
             client = await bank.client()
             await client.send("a", "pay", 300, b"x")
             with anyio.fail_after(0.29):
@@ -169,7 +169,7 @@
     chunks,
 ) -> None:
     chance = random.Random(9)
-    async with Bank(lambda got: reply(200, got.headers["x-call-id"].encode())) as bank:
+    async with LoopbackCluster(lambda got: reply(200, got.headers["x-call-id"].encode())) as bank:
         client = await bank.client()
         for number in range(2):
             raw, at = framed(f"a{number}", BODY, chunks), 0
@@ -185,24 +185,24 @@
 
 
 async def test_a_large_invocation_begins_at_its_backend_before_it_is_whole() -> None:
-    async with Bank(lambda _: reply(200)) as bank:
+    async with LoopbackCluster(lambda _: reply(200)) as bank:
         client = await bank.client()
         await client.stream.send(head("a", "Content-Length: 400000\r\nExpect: 100-continue"))
         assert (await client.stream.receive()).startswith(b"HTTP/1.1 100 ")
         await client.stream.send(BODY[:200_000])
-        await until(lambda: bank.backends[0].opened == 1)
+        await wait_until(lambda: bank.backends[0].opened == 1)
         assert not bank.backends[0].got
         await client.stream.send(BODY[200_000:])
         assert (await client.answer_to("a")).target == "200"
 
 
 async def test_what_breaks_while_it_is_on_its_way_is_nacked_and_not_pushed_again() -> None:
-    async with Bank(lambda _: reply(200), lambda _: reply(200)) as bank:
+    async with LoopbackCluster(lambda _: reply(200), lambda _: reply(200)) as bank:
         client = await bank.client()
         await client.stream.send(head("a", "Content-Length: 400000") + BODY[:200_000])
-        await until(lambda: sum(backend.opened for backend in bank.backends) == 1)
+        await wait_until(lambda: sum(backend.opened for backend in bank.backends) == 1)
         broken = next(backend for backend in bank.backends if backend.opened)
-        await until(lambda: broken.streams)
+        await wait_until(lambda: broken.streams)
         await broken.streams[0].aclose()
         answer = await client.answer_to("a")
         assert answer.target == "503" and "retry-after" in answer.headers
@@ -214,13 +214,13 @@
 
 async def test_a_backend_that_takes_nothing_more_ends_its_push(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClientConnection, "UNTAKEN", 0.3)
-    async with Bank(lambda _: reply(200)) as bank, anyio.create_task_group() as tasks:
+    async with LoopbackCluster(lambda _: reply(200)) as bank, anyio.create_task_group() as tasks:
         with socket.create_server(("127.0.0.1", 0)) as deaf:  # accepted by its kernel, never read
-            news_of = news(2, listed(0, deaf.getsockname()[1]))
+            news_of = list_reply(2, list_line(0, deaf.getsockname()[1]))
             bank.discovery.answer = lambda got: news_of if "from=1" in got.target else None
             for stream in list(bank.discovery.streams):
                 await stream.aclose()
-            await until(lambda: any("from=2" in got.target for got in bank.discovery.got))
+            await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.got))
             client = await bank.client()
             tasks.start_soon(client.stream.send, head("a", "Content-Length: 30000000") + bytes(30_000_000))
             assert (await client.answer_to("a")).target == "503"
@@ -228,18 +228,18 @@
 
 
 async def test_silence_after_the_last_byte_is_terminated_within_the_time_that_was_given() -> None:
-    async with Bank(lambda _: None) as bank:
+    async with LoopbackCluster(lambda _: None) as bank:
         client = await bank.client()
         await client.stream.send(head("a", "Content-Length: 400000", budget=300) + BODY)
         began = anyio.current_time()
         assert (await client.answer_to("a")).target == "502"
         assert anyio.current_time() - began < 0.31
-        await until(lambda: bank.backends[0].closed == 1, 0.5)
+        await wait_until(lambda: bank.backends[0].closed == 1, 0.5)
 
 
 async def test_a_trickle_ends_and_a_slow_sender_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClientConnection, "WHOLE", 0.4)
-    async with Bank(lambda _: reply(200)) as bank:
+    async with LoopbackCluster(lambda _: reply(200)) as bank:
         trickle, steady = await bank.client(), await bank.client()
         await trickle.stream.send(head("a", "Content-Length: 400000") + BODY[:70_000])
 
@@ -253,7 +253,7 @@
             tasks.start_soon(send)
             assert (await trickle.answer_to("a")).target == "408"
             assert (await steady.answer_to("b")).target == "200"
-        await until(lambda: bank.backends[0].closed == 1)
+        await wait_until(lambda: bank.backends[0].closed == 1)
         assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["b"]
 
 
@@ -261,7 +261,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("thornladder.node.clients.connection.MOST_BODY", 200_000)
-    async with Bank() as bank:
+    async with LoopbackCluster() as bank:
         client = await bank.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
         await client.stream.send(head("a", "Transfer-Encoding: chunked") + 2 * chunk)
@@ -270,12 +270,12 @@
             await client.stream.send(5 * chunk)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(2.0):
             await client.stream.receive()
-        assert not bank.log.facts("a client's connection failed")
+        assert not bank.log.find("a client's connection failed")
 
 
 async def test_a_body_without_end_is_turned_down(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("thornladder.node.clients.connection.MOST_BODY", 200_000)
-    async with Bank(lambda _: reply(200)) as bank:
+    async with LoopbackCluster(lambda _: reply(200)) as bank:
         client = await bank.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
         await client.stream.send(head("a", "Transfer-Encoding: chunked") + 5 * chunk)
@@ -288,10 +288,10 @@
     size, bodies, info = 4_000_000, 24, deepcopy(SETTINGS)
     info["Classes"][1] |= {"Aim": 20_000_000, "HardLimit": 60_000_000}
 
-    def echo(got: Got) -> bytes:
+    def echo(got: ReceivedMessage) -> bytes:
         return reply(200, bytes(size)) if got.target == "/pay" else reply(200)
 
-    async with running_node(tmp_path, Peer(echo), Peer(echo), info=info) as (process, port):
+    async with running_node(tmp_path, FakeServer(echo), FakeServer(echo), info=info) as (process, port):
         path = Path(f"/proc/{process.pid}/status")
 
         def resident() -> int:
@@ -335,7 +335,7 @@
         reading.append(self.transport.is_reading())
 
     monkeypatch.setattr(streams.OneByOne, "data_received", watched)
-    async with Bank(large) as bank:
+    async with LoopbackCluster(large) as bank:
         client = await bank.client()
         await client.stream.send(head("a", "Content-Length: 400000") + BODY)
         assert (await client.answer_to("a")).target == "200"
@@ -346,17 +346,17 @@
 
 
 def test_one_that_flows_is_pushed_once_and_its_way_here_teaches_nothing() -> None:
-    bench = Bench(copies=False)
-    bench.list([entry(number) for number in range(3)])
+    bench = FakeHost(copies=False)
+    bench.send_list([entry(number) for number in range(3)])
     account = bench.accounts["a"] = Account(OFFERINGS[0], bench.now + 100.0)
     bench.node.on_invocation(bench.now, Invocation("a", "look", "t", 100.0, None, False, True))
     assert len(account.pushes) == 1
     bench.advance(8.0)  # on its way
-    assert not bench.lines and bench.open() == [("a", 0)]
+    assert not bench.log_lines and bench.open_pushes() == [("a", 0)]
     account.cut_off = bench.now + 1.0
     bench.node.on_whole(bench.now, "a", 1.0)
     bench.advance(0.05)
-    bench.end("a", 0, Outcome.COMPLETED)
+    bench.end_push("a", 0, Outcome.COMPLETED)
     health, now = bench.node.health, bench.now
     assert health.units["look"].read(now) < 0.1 and health.longest(now) < 0.1
     for outcome, final in (
@@ -367,6 +367,6 @@
         id = outcome.value
         account = bench.accounts[id] = Account(OFFERINGS[0], bench.now + 100.0)
         bench.node.on_invocation(bench.now, Invocation(id, "look", "t", 100.0, None, False, True))
-        bench.end(id, 0, outcome)
+        bench.end_push(id, 0, outcome)
         assert (account.final, len(account.pushes)) == (final, 1)
-    assert not any(view.open for view in health.views.values()) and bench.node.out == 0
+    assert not any(stats.in_flight for stats in health.stats.values()) and bench.node.in_flight == 0
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -8,9 +8,9 @@
 import anyio
 import pytest
 from anyio._backends._asyncio import StreamProtocol
-from harness import Bank, Bench, Got, entry, reply, until
+from harness import FakeHost, LoopbackCluster, ReceivedMessage, entry, reply, wait_until
 
-from thornladder.decide import Core
+from thornladder.decide import OverloadController
 from thornladder.interface import Idempotency, Offering
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.early import EarlyShedder
@@ -22,20 +22,20 @@
 POST = b"POST /pay?key=1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: b\r\nContent-Length: 3\r\n\r\nabc"
 
 
-def done(_: Got) -> bytes:
+def done(_: ReceivedMessage) -> bytes:
     return reply(200)
 
 
 def test_a_late_node_settles_where_its_core_carries_the_rest_least_utility_first() -> None:
     """A queue in virtual time: 1,300 a second come to a core that carries 1,000; a nack costs a tenth."""
-    core, chance = Core(0.25), random.Random(5)
+    core, chance = OverloadController(0.25), random.Random(5)
     backlog, refused, came, waits = 0.0, {0.1: 0, 1.0: 0}, {0.1: 0, 1.0: 0}, []
     for step in range(1, 13001):
         now = step / 1300.0
         backlog = max(backlog - 1.0 / 1300.0, 0.0)
-        core.seen(backlog, now)
+        core.observe(backlog, now)
         rank = 0.1 if step % 2 else 1.0
-        turned_away = core.refuses(rank, chance)
+        turned_away = core.should_shed(rank, chance)
         backlog += 0.0001 if turned_away else 0.001
         if now > 3.0:
             came[rank] += 1
@@ -45,29 +45,29 @@
     share = {rank: refused[rank] / came[rank] for rank in came}
     assert 0.35 < share[0.1] < 0.75 and share[1.0] < 0.05, share
     for step in range(80):
-        core.seen(0.0, 10.0 + step / 10.0)
+        core.observe(0.0, 10.0 + step / 10.0)
     assert core.pressure == 0.0
 
 
 def test_a_stall_that_is_over_turns_next_to_nothing_away() -> None:
     # A sixth of the first five seconds was refused, for a stall of a tenth of a second at the start.
-    core = Core(0.25)
-    core.seen(0.0, 1.0)
-    core.seen(0.15, 1.15)  # a timer that was late, and what lay unread meanwhile
+    core = OverloadController(0.25)
+    core.observe(0.0, 1.0)
+    core.observe(0.15, 1.15)  # a timer that was late, and what lay unread meanwhile
     for each in range(40):
-        core.seen(0.15, 1.15 + each * 1e-4)
+        core.observe(0.15, 1.15 + each * 1e-4)
     assert core.pressure < 0.1
     for step in range(1, 6):
-        core.seen(0.0, 1.16 + 0.03 * step)
+        core.observe(0.0, 1.16 + 0.03 * step)
     assert core.pressure == 0.0
 
 
 def test_what_lay_unread_past_its_time_is_nacked_without_a_push() -> None:
-    bench = Bench()
-    bench.list([entry(n) for n in range(3)])
-    assert bench.come("a", "pay", left=0.004).final == "nacked" and not bench.accounts["a"].pushes
-    assert 0.0 < bench.node.turns_away(bench.now, "pay", 0.004, 0.9) <= 0.5
-    assert bench.node.turns_away(bench.now + 1.0, "pay", 0.5, 0.0) is None
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(3)])
+    assert bench.submit("a", "pay", time_left=0.004).final == "nacked" and not bench.accounts["a"].pushes
+    assert 0.0 < bench.node.shed_unread(bench.now, "pay", 0.004, 0.9) <= 0.5
+    assert bench.node.shed_unread(bench.now + 1.0, "pay", 0.5, 0.0) is None
 
 
 LOOK = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 0.25, 1.0, 1.0, 0.0)
@@ -97,7 +97,7 @@
     assert len(asked) == 2
 
 
-async def at_once(bank: Bank) -> bytes:
+async def at_once(bank: LoopbackCluster) -> bytes:
     """What comes back on a new connection whose invocation is there before the node can have accepted it."""
     with socket.create_connection(("127.0.0.1", bank.port)) as raw:
         raw.sendall(WHOLE)
@@ -110,7 +110,7 @@
 async def test_a_late_node_turns_away_unread_on_new_and_kept_connections(monkeypatch) -> None:
     told, come_back = [], 0.2
     monkeypatch.setattr(NodeHost, "turns_away", lambda _, *what: told.append(what) or come_back)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         kept = await bank.client()
         assert (await kept.ask("a0", "look")).target == "200" and not told
         monkeypatch.setattr(Lag, "late", True)
@@ -179,10 +179,10 @@
             connection.close_idle()  # as a look at all connections would at this very moment
 
     monkeypatch.setattr(ClientConnection, "serve", serve)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         client = await bank.client()
         assert (await client.ask("a", "look")).target == "200"
-        await until(lambda: seen)
+        await wait_until(lambda: seen)
         monkeypatch.setattr(StreamProtocol, "data_received", arrive)
         for number in range(3):
             await anyio.sleep(0.31)  # longer than a look grants after an answer
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,62 +5,62 @@
 import random
 
 import pytest
-from harness import Bench, entry
+from harness import FakeHost, entry
 
 from thornladder import decide
 from thornladder.interface import ListKind, Outcome, State
 
 
-def weights(bench: Bench) -> dict[str, int]:
+def weights(bench: FakeHost) -> dict[str, int]:
     return {seat.backend.id: seat.weight for seat in bench.node.rotation.seats}
 
 
-def ramped(bench: Bench, number: int) -> bool:
-    return bench.node.roster.known[f"b{number:02}"].ramp_start is not None
+def ramped(bench: FakeHost, number: int) -> bool:
+    return bench.node.registry.backends[f"b{number:02}"].ramp_start is not None
 
 
 def test_weights_follow_the_curve_and_are_scaled() -> None:
-    bench = Bench()
-    bench.list([entry(1, weight=2.0), entry(2, weight=1.0), entry(3, weight=0.0)], ListKind.RESTORED)
+    bench = FakeHost()
+    bench.send_list([entry(1, weight=2.0), entry(2, weight=1.0), entry(3, weight=0.0)], ListKind.RESTORED)
     assert weights(bench) == {"b01": 100, "b02": 50}
     bench.advance(6.0)
-    bench.list([entry(4, weight=2.0)], ListKind.DELTA)
+    bench.send_list([entry(4, weight=2.0)], ListKind.DELTA)
     start, length = bench.now, bench.node.ramp.length
     for part in (0.0, 0.3, 0.5, 0.8, 1.0):
         bench.advance(start + part * length - bench.now)
         bench.node._rebuild(bench.now)
         assert weights(bench)["b04"] == pytest.approx(100 * max(part, 0.2), abs=1)
-    bench.list([entry(1)._replace(weight=None)], ListKind.DELTA)
+    bench.send_list([entry(1)._replace(weight=None)], ListKind.DELTA)
     assert weights(bench) == {"b01": 100, "b02": 1, "b04": 2}
 
 
 def test_which_backends_ramp() -> None:
-    bench = Bench()
+    bench = FakeHost()
     young, old = entry(2, started=bench.now - 2), entry(3, started=bench.now - 90)
-    bench.list([entry(1), young, old], ListKind.RESTORED)
+    bench.send_list([entry(1), young, old], ListKind.RESTORED)
     assert [ramped(bench, n) for n in (1, 2, 3)] == [False, True, False]
     bench.advance(1.0)
-    bench.list([entry(4), entry(5, started=bench.now - 1)], ListKind.DELTA)
+    bench.send_list([entry(4), entry(5, started=bench.now - 1)], ListKind.DELTA)
     assert not ramped(bench, 4), "the grace keeps a late arrival mature"
     assert ramped(bench, 5), "but never hides a recent start"
     bench.advance(9.0)
-    bench.list([entry(6), entry(3, started=bench.now - 1)], ListKind.DELTA)
+    bench.send_list([entry(6), entry(3, started=bench.now - 1)], ListKind.DELTA)
     assert ramped(bench, 6) and ramped(bench, 3)
-    assert bench.node.roster.known["b03"].ramp_start == bench.now - 1
+    assert bench.node.registry.backends["b03"].ramp_start == bench.now - 1
 
 
 def test_absence_resumes_or_starts_over() -> None:
-    bench = Bench()
-    bench.list([entry(1), entry(2)], ListKind.RESTORED)
+    bench = FakeHost()
+    bench.send_list([entry(1), entry(2)], ListKind.RESTORED)
     length = bench.node.ramp.length
-    bench.list([entry(2, State.DRAINING)], ListKind.DELTA)
+    bench.send_list([entry(2, State.DRAINING)], ListKind.DELTA)
     bench.advance(0.9 * length)
-    bench.list([entry(2)], ListKind.DELTA)
+    bench.send_list([entry(2)], ListKind.DELTA)
     assert not ramped(bench, 2)
-    bench.list([entry(1)])
+    bench.send_list([entry(1)])
     bench.advance(1.1 * length)
-    bench.list([entry(1), entry(2)])
-    assert bench.node.roster.known["b02"].ramp_start == bench.now
+    bench.send_list([entry(1), entry(2)])
+    assert bench.node.registry.backends["b02"].ramp_start == bench.now
 
 
 @pytest.mark.parametrize(("gap", "count"), [(0.01, 4000), (0.5, 400)])
@@ -91,17 +91,17 @@
 
 def test_a_process_that_broke_its_connections_comes_back_ramped() -> None:
     """Guards against a restart that the list has not told of: cold, at full weight."""
-    bench = Bench(probes=False)
-    bench.list([entry(n) for n in range(5)], ListKind.RESTORED)
+    bench = FakeHost(probes=False)
+    bench.send_list([entry(n) for n in range(5)], ListKind.RESTORED)
     bench.advance(6.0)
-    bench.come("a")
+    bench.submit("a")
     backend = bench.lose("a")
     for step in range(400):
-        bench.come(f"i{step}")
+        bench.submit(f"i{step}")
         bench.complete_all(0.02)
-    known = bench.node.roster.known[backend]
+    known = bench.node.registry.backends[backend]
     assert known.ramp_start is not None and known.ramp_start > 106.0
-    assert any(line == f"readmitted {backend}: was dead" for line in bench.lines)
+    assert any(line == f"readmitted {backend}: was dead" for line in bench.log_lines)
 
 
 def test_a_part_is_every_nth_and_grows_when_most_of_it_is_lost() -> None:
@@ -122,16 +122,16 @@
 
 def test_a_crowded_zone_is_left_before_each_of_its_backends_is_met() -> None:
     """Guards against a trickle that stays in a crowded zone of which it has met few backends."""
-    bench = Bench(nodes=400, copies=False, probes=False)
-    bench.list([entry(n)._replace(zone="xy"[n // 2 % 2]) for n in range(40)])
+    bench = FakeHost(nodes=400, copies=False, probes=False)
+    bench.send_list([entry(n)._replace(zone="xy"[n // 2 % 2]) for n in range(40)])
     places = []
     for step in range(220):
-        account = bench.come(f"i{step}", "pay", left=3.0, tenant="")
-        place = bench.places[account.pushes[0][0]].zone if account.pushes else "nacked"
+        account = bench.submit(f"i{step}", "pay", time_left=3.0, tenant="")
+        place = bench.entries[account.pushes[0][0]].zone if account.pushes else "nacked"
         places.append(place)
         bench.advance(0.25 if place == "x" and step > 100 else 0.05)
         if account.pushes:
-            bench.end(f"i{step}", 0, Outcome.COMPLETED)
+            bench.end_push(f"i{step}", 0, Outcome.COMPLETED)
     assert "y" not in places[:100] and places.count("y") > 10, places
 
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -9,7 +9,7 @@
 
 import anyio
 import pytest
-from harness import SETTINGS, Bank, Bench, Got, config, entry, reply
+from harness import SETTINGS, FakeHost, LoopbackCluster, ReceivedMessage, config, entry, reply
 
 from thornladder import decide, settings
 from thornladder.fields import MalformedError
@@ -24,18 +24,18 @@
 }
 
 
-def told(bench: Bench, held: float = 4.0) -> None:
+def told(bench: FakeHost, held: float = 4.0) -> None:
     """Every probe that is out is answered."""
     while bench.probes:
-        bench.probed(bench.probes.pop(0), Outcome.COMPLETED, LoadReport(held))
+        bench.answer_probe(bench.probes.pop(0), Outcome.COMPLETED, LoadReport(held))
 
 
-def settled(backends: list[int], **given: object) -> Bench:
+def settled(backends: list[int], **given: object) -> FakeHost:
     """A node that has served these backends for a while and had reports of them."""
-    bench = Bench(asks=1.0, **given)
-    bench.list([entry(n) for n in backends])
+    bench = FakeHost(asks=1.0, **given)
+    bench.send_list([entry(n) for n in backends])
     for step in range(30):
-        bench.come(f"w{step}")
+        bench.submit(f"w{step}")
         told(bench)
         bench.complete_all(0.01)
     return bench
@@ -51,34 +51,34 @@
     """Guards against nacks while the fleet has room: 50 nodes, 40 backends, most traffic is here."""
     finals = {}
     for asks in (0.0, 3.0):
-        bench = Bench(nodes=50, asks=asks)
-        bench.list([entry(n) for n in range(40)])
+        bench = FakeHost(nodes=50, asks=asks)
+        bench.send_list([entry(n) for n in range(40)])
         for step in range(600):
-            bench.come(f"i{step}", tenant="")
+            bench.submit(f"i{step}", tenant="")
             told(bench, 0.5)
             bench.advance(0.005)
-            for id, number in bench.open():
+            for id, number in bench.open_pushes():
                 if bench.now - bench.accounts[id].pushes[number][1] >= 0.05:
-                    bench.end(id, number, Outcome.COMPLETED)
+                    bench.end_push(id, number, Outcome.COMPLETED)
         finals[asks] = sum(account.final == "nacked" for account in bench.accounts.values())
     assert finals[0.0] > 100 and finals[3.0] == 0, finals
 
 
 def test_probes_are_few_and_go_to_those_whose_turn_comes() -> None:
-    bench = Bench(asks=0.5)
-    bench.list([entry(n) for n in range(20)])
+    bench = FakeHost(asks=0.5)
+    bench.send_list([entry(n) for n in range(20)])
     asked = 0
     for step in range(200):
-        bench.come(f"i{step}")
+        bench.submit(f"i{step}")
         asked += len(bench.probes)
         assert len(set(bench.probes)) == len(bench.probes), "one probe out to a backend at a time"
         told(bench)
         bench.complete_all(0.02)
     assert 90 <= asked <= 101, "half a probe an invocation"
-    bench = Bench(asks=0.0)
-    bench.list([entry(n) for n in range(20)])
+    bench = FakeHost(asks=0.0)
+    bench.send_list([entry(n) for n in range(20)])
     for step in range(50):
-        bench.come(f"i{step}")
+        bench.submit(f"i{step}")
         bench.complete_all(0.02)
     assert not bench.probes, "where probes bring no load none is sent for it"
 
@@ -86,30 +86,30 @@
 def test_a_report_of_many_held_makes_the_pick_yield_until_it_is_old() -> None:
     bench, met = settled([0, 2], copies=False), []
     for step in range(40):
-        bench.probed("b00", Outcome.COMPLETED, LoadReport(20.0))
-        bench.probed("b02", Outcome.COMPLETED, LoadReport(1.0))
-        met.append(bench.come(f"x{step}").pushes[0][0])
+        bench.answer_probe("b00", Outcome.COMPLETED, LoadReport(20.0))
+        bench.answer_probe("b02", Outcome.COMPLETED, LoadReport(1.0))
+        met.append(bench.submit(f"x{step}").pushes[0][0])
         bench.probes.clear()
         bench.complete_all(0.02)
     assert met.count("b02") == 40
     bench.advance(4.0)
     later = []
     for step in range(20):
-        later.append(bench.come(f"y{step}").pushes[0][0])
+        later.append(bench.submit(f"y{step}").pushes[0][0])
         bench.complete_all(0.02)
         bench.advance(0.3)
     assert "b00" in later, "an old report keeps nobody away"
 
 
 def test_missing_and_odd_values_change_nothing() -> None:
-    benches = [Bench(5, asks=0.0), Bench(5, asks=0.0)]
+    benches = [FakeHost(5, asks=0.0), FakeHost(5, asks=0.0)]
     for odd, bench in enumerate(benches):
-        bench.list([entry(n) for n in range(6)])
+        bench.send_list([entry(n) for n in range(6)])
         for step in range(60):
             if odd:
-                bench.probed("b01", Outcome.COMPLETED, NO_REPORT)
-                bench.probed("nobody", Outcome.COMPLETED, LoadReport(9.0))
-            bench.come(f"i{step}")
+                bench.answer_probe("b01", Outcome.COMPLETED, NO_REPORT)
+                bench.answer_probe("nobody", Outcome.COMPLETED, LoadReport(9.0))
+            bench.submit(f"i{step}")
             bench.complete_all(0.02)
     first, second = ([account.pushes for account in bench.accounts.values()] for bench in benches)
     assert first == second
@@ -125,25 +125,25 @@
 
 def test_a_backend_that_holds_and_completes_nothing_is_out_though_probes_reach_it() -> None:
     """Guards against a hang that a shallow probe does not see: each answer to one brought it back."""
-    bench = Bench(asks=1.0)
-    bench.list([entry(n) for n in range(6)])
-    bench.probed("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
-    assert bench.node.health.views["b01"].cause == "hung"
+    bench = FakeHost(asks=1.0)
+    bench.send_list([entry(n) for n in range(6)])
+    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
+    assert bench.node.health.stats["b01"].cause == "hung"
     bench.advance(3.0)
-    bench.probed("b01", Outcome.COMPLETED, LoadReport(14.0, 0.0, 0.0))
-    assert bench.node.health.views["b01"].cause == "hung"
-    bench.probed("b01", Outcome.COMPLETED, LoadReport(2.0, 0.0, 20.0))
-    assert not bench.node.health.views["b01"].cause
+    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(14.0, 0.0, 0.0))
+    assert bench.node.health.stats["b01"].cause == "hung"
+    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(2.0, 0.0, 20.0))
+    assert not bench.node.health.stats["b01"].cause
 
 
 def test_a_backend_whose_report_counts_errors_is_out_until_it_counts_none() -> None:
-    bench = Bench(asks=1.0)
-    bench.list([entry(n) for n in range(6)])
-    bench.probed("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
-    bench.probed("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
-    assert bench.node.health.views["b01"].cause == "erring" and not bench.node.health.views["b02"].cause
-    bench.probed("b01", Outcome.COMPLETED, LoadReport(1.0, 0.0))
-    assert not bench.node.health.views["b01"].cause
+    bench = FakeHost(asks=1.0)
+    bench.send_list([entry(n) for n in range(6)])
+    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
+    bench.answer_probe("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
+    assert bench.node.health.stats["b01"].cause == "erring" and not bench.node.health.stats["b02"].cause
+    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 0.0))
+    assert not bench.node.health.stats["b01"].cause
 
 
 def test_a_tagged_push_moves_off_a_silent_backend_within_its_window_only() -> None:
@@ -151,16 +151,16 @@
     for silent, group, moves in ((True, "mark", 1), (False, "mark", 0), (True, "book", 0)):
         bench, cancelled = settled(list(range(8)), copies=False), []
         bench.cancel = lambda id, number, cancelled=cancelled: cancelled.append((id, number))
-        account = bench.come("a", group)
+        account = bench.submit("a", group)
         first = account.pushes[0][0]
         for _ in range(14):
             bench.advance(0.025)
             bench.probes[:] = [backend for backend in bench.probes if backend == first and silent]
             if not silent:
-                bench.probed(first, Outcome.COMPLETED, LoadReport(4.0))
+                bench.answer_probe(first, Outcome.COMPLETED, LoadReport(4.0))
             for id, number in cancelled:
                 if number not in bench.accounts[id].ended:
-                    bench.end(id, number, Outcome.CANCELLED)
+                    bench.end_push(id, number, Outcome.CANCELLED)
         assert len(account.pushes) == 1 + moves, (silent, group)
         if moves:
             (_, sent), (backend, again) = account.pushes
@@ -171,17 +171,19 @@
 def test_what_is_lost_is_answered_at_once_and_nacks_say_when_to_come_back(seed: int) -> None:
     """Guards against a lost invocation held until its time is almost up, so that its client stays quiet."""
     rng = random.Random(seed)
-    bench = Bench(seed, copies=False, asks=1.0)
-    bench.list([entry(n) for n in range(5)])
+    bench = FakeHost(seed, copies=False, asks=1.0)
+    bench.send_list([entry(n) for n in range(5)])
     come_back = []
     nack = bench.nack
     bench.nack = lambda id, after: (come_back.append(after), nack(id, after))
     for step in range(200):
-        account = bench.come(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
+        account = bench.submit(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
         told(bench, rng.choice([1.0, 5.0]))
         bench.advance(rng.choice([0.01, 0.05]))
         while not account.final and len(account.ended) < len(account.pushes):
-            bench.end(f"i{step}", len(account.ended), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST]))
+            bench.end_push(
+                f"i{step}", len(account.ended), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST])
+            )
         assert account.final, "given up and not answered at once"
     assert come_back and all(0.0 < after <= 0.5 for after in come_back)
 
@@ -189,8 +191,8 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_in_random_runs_with_reports(seed: int) -> None:
     rng = random.Random(seed)
-    bench = Bench(seed, copies=seed % 2 == 0, nodes=30, asks=3.0, worst_offering=0.3)
-    bench.list([entry(n) for n in range(8)], ListKind.RESTORED)
+    bench = FakeHost(seed, copies=seed % 2 == 0, nodes=30, asks=3.0, worst_offering=0.3)
+    bench.send_list([entry(n) for n in range(8)], ListKind.RESTORED)
     odd = (
         NO_REPORT,
         LoadReport(0.0),
@@ -199,26 +201,28 @@
         LoadReport(1e5, 1e5, 1e5),
     )
     for step in range(500):
-        bench.come(f"i{step}", rng.choice(["look", "pay", "book", "note", "mark"]))
+        bench.submit(f"i{step}", rng.choice(["look", "pay", "book", "note", "mark"]))
         for _ in range(min(len(bench.probes), rng.randrange(3))):
-            bench.probed(bench.probes.pop(), rng.choice(list(Outcome)), rng.choice(odd))
-        for id, number in bench.open():
+            bench.answer_probe(bench.probes.pop(), rng.choice(list(Outcome)), rng.choice(odd))
+        for id, number in bench.open_pushes():
             if rng.random() < 0.3:
-                bench.end(id, number, rng.choice(list(Outcome)))
+                bench.end_push(id, number, rng.choice(list(Outcome)))
         if rng.random() < 0.1:
             state = rng.choice([State.RUNNING, State.DRAINING])
-            bench.list([entry(rng.randrange(8), state, rng.choice([None, bench.now - 1]))], ListKind.DELTA)
+            bench.send_list(
+                [entry(rng.randrange(8), state, rng.choice([None, bench.now - 1]))], ListKind.DELTA
+            )
         bench.advance(rng.choice([0.0, 0.01, 0.1]))
-    while bench.open():
-        bench.end(*bench.open()[0], Outcome.CANCELLED)
-    assert all(account.final for account in bench.accounts.values()) and not bench.node.live
+    while bench.open_pushes():
+        bench.end_push(*bench.open_pushes()[0], Outcome.CANCELLED)
+    assert all(account.final for account in bench.accounts.values()) and not bench.node.active
 
 
 def test_the_worst_served_offering_weighs_by_the_settings() -> None:
     def rank(worst: float) -> float:
-        bench = Bench(worst_offering=worst, asks=1.0)
+        bench = FakeHost(worst_offering=worst, asks=1.0)
         for step in range(100):
-            bench.come(f"i{step}", "pay" if step % 4 else "look")
+            bench.submit(f"i{step}", "pay" if step % 4 else "look")
         return bench.node.admission.standing(bench.node.offerings["look"], 0.05)
 
     assert rank(0.0) == 1.0 / 8.0
@@ -268,10 +272,10 @@
     monkeypatch.setattr(decide.Node, "on_probe_ended", hear)
     bodies = [b'{"rif":7,"fail_rate":0.5}', b"nonsense", b'{"rif":-3}', b"x" * 9000]
 
-    def answer(number: int) -> Callable[[Got], bytes]:
+    def answer(number: int) -> Callable[[ReceivedMessage], bytes]:
         return lambda got: reply(200, bodies[number]) if got.target == "/stats" else reply(200)
 
-    async with Bank(*(answer(number) for number in range(4)), info=OWN_NODE) as bank:
+    async with LoopbackCluster(*(answer(number) for number in range(4)), info=OWN_NODE) as bank:
         with anyio.fail_after(8.0):  # some rebuilds of the rotation: whose turns come next is chance
             for number in itertools.count():
                 assert (await bank.ask(f"a{number}", "look")).target == "200"
@@ -284,7 +288,7 @@
 
 @pytest.mark.anyio
 async def test_without_reports_nothing_is_asked_for() -> None:
-    async with Bank(lambda got: reply(200)) as bank:
+    async with LoopbackCluster(lambda got: reply(200)) as bank:
         for number in range(20):
             assert (await bank.ask(f"a{number}", "look")).target == "200"
         assert {got.target for got in bank.backends[0].got} == {"/look"}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 import anyio
 import h11
 import pytest
-from harness import Bank, Got, Peer, listed, news, reply, until
+from harness import FakeServer, LoopbackCluster, ReceivedMessage, list_line, list_reply, reply, wait_until
 
 from thornladder.interface import Outcome
 from thornladder.node.backends.pushes import outcome_of
@@ -22,16 +22,16 @@
 POST = b"POST /pay HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\n"
 
 
-def done(got: Got) -> bytes:
+def done(got: ReceivedMessage) -> bytes:
     return reply(200, f"{got.headers.get('x-call-id')} done".encode(), Content_Type="text/odd")
 
 
-def full(_: Got) -> bytes:
+def full(_: ReceivedMessage) -> bytes:
     return reply(503, X_Rejected="1")
 
 
 async def test_an_invocation_goes_through_unchanged() -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         answer = await bank.ask("aa", "pay/now?key=0f&x=%20", 900, b"x" * MOST_WHOLE, X_Caller="t", Odd="1")
         assert (answer.target, answer.body) == ("200", b"aa done")
         assert answer.headers["content-type"] == "text/odd"
@@ -42,7 +42,7 @@
 
 
 async def test_connections_are_used_again() -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         client = await bank.client()
         for number in range(5):
             assert (await client.ask(f"a{number}", "pay", body=b"x")).body == f"a{number} done".encode()
@@ -50,20 +50,20 @@
 
 
 async def test_turned_away_goes_elsewhere_even_once_only() -> None:
-    async with Bank(full, done, full) as bank:
+    async with LoopbackCluster(full, done, full) as bank:
         answers = [await bank.ask(f"a{number}", "pay", body=b"x") for number in range(6)]
         assert {answer.target for answer in answers} <= {"200", "503"}
         assert Counter(answer.target for answer in answers)["200"] >= 4
 
 
 @pytest.mark.parametrize(
-    "answer", [lambda _: b"", lambda _: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + Peer.CUT,
+    "answer", [lambda _: b"", lambda _: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + FakeServer.CUT,
                lambda _: reply(503), lambda _: reply(429, X_Rejected="1"), lambda _: reply(504),
-               lambda _: reply(302), lambda _: b"nonsense\r\n\r\n" + Peer.CUT],
+               lambda _: reply(302), lambda _: b"nonsense\r\n\r\n" + FakeServer.CUT],
     ids=["closed", "half", "503", "429", "504", "302", "nonsense"],
 )  # fmt: skip
 async def test_once_only_that_may_have_run_is_terminated_never_nacked(answer) -> None:
-    async with Bank(answer, answer) as bank:
+    async with LoopbackCluster(answer, answer) as bank:
         got = await bank.ask("aa", "pay", body=b"x")
         assert got.target == "502"
         assert sum(len(backend.got) for backend in bank.backends) == 1
@@ -86,20 +86,20 @@
 @pytest.mark.parametrize("name", SPOILT)
 async def test_a_spoilt_answer_ends_its_push_at_once_and_its_backend_is_no_dead_one(name: str) -> None:
     # Backends were ejected as dead for one spoilt answer each, until none was left.
-    async with Bank(lambda _: SPOILT[name]) as bank:
+    async with LoopbackCluster(lambda _: SPOILT[name]) as bank:
         began = anyio.current_time()
         assert (await bank.ask("aa", "pay", body=b"x")).target == "502"
         assert anyio.current_time() - began < 0.5
-        await until(lambda: bank.backends[0].closed == len(bank.backends[0].got) == 1)
+        await wait_until(lambda: bank.backends[0].closed == len(bank.backends[0].got) == 1)
         assert not any("dead" in line for line, _ in bank.log.lines)
 
 
 async def test_what_belongs_to_no_answer_does_not_spoil_it() -> None:
-    def more(got: Got) -> bytes:
+    def more(got: ReceivedMessage) -> bytes:
         ahead = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
         return ahead + reply(200, got.headers["x-call-id"].encode(), X_Load_Report='{"busy": nan') * 2
 
-    async with Bank(more) as bank:
+    async with LoopbackCluster(more) as bank:
         for number in range(3):
             answer = await bank.ask(f"a{number}", "look")
             assert (answer.target, answer.body) == ("200", f"a{number}".encode())
@@ -107,47 +107,49 @@
 
 
 async def test_a_half_answer_of_a_repeatable_one_is_not_passed_on() -> None:
-    def half(_: Got) -> bytes:
-        return b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf" + Peer.CUT
+    def half(_: ReceivedMessage) -> bytes:
+        return b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf" + FakeServer.CUT
 
-    async with Bank(half, done) as bank:
+    async with LoopbackCluster(half, done) as bank:
         for number in range(4):
             assert (await bank.ask(f"a{number}", "look")).body == f"a{number} done".encode()
 
 
 async def test_a_dead_backend_costs_nobody_an_answer() -> None:
-    async with Bank(done, done) as bank:
+    async with LoopbackCluster(done, done) as bank:
         # The listening socket is gone, as after a crash that no list has told of.
         async with await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0) as gone:
             port = gone.extra(anyio.abc.SocketAttribute.local_port)
-        bank.discovery.answer = lambda got: news(2, listed(0, port)) if "from=1" in got.target else None
+        bank.discovery.answer = lambda got: (
+            list_reply(2, list_line(0, port)) if "from=1" in got.target else None
+        )
         for stream in list(bank.discovery.streams):
             await stream.aclose()
-        await until(lambda: any("from=2" in got.target for got in bank.discovery.got))
+        await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.got))
         for number in range(6):
             assert (await bank.ask(f"a{number}", "pay", body=b"x")).target == "200"
         assert len(bank.backends[1].got) == 6
 
 
 async def test_silence_ends_before_the_cut_off_and_closes_the_connection() -> None:
-    async with Bank(lambda _: None) as bank:
+    async with LoopbackCluster(lambda _: None) as bank:
         began = anyio.current_time()
         answer = await bank.ask("aa", "pay", 300, b"x")
         assert answer.target == "502" and anyio.current_time() - began < 0.31
-        await until(lambda: bank.backends[0].closed == 1)
+        await wait_until(lambda: bank.backends[0].closed == 1)
 
 
 async def test_a_client_that_leaves_ends_its_push() -> None:
-    async with Bank(lambda _: None) as bank:
+    async with LoopbackCluster(lambda _: None) as bank:
         client = await bank.client()
         await client.send("aa", "pay", body=b"x")
-        await until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].got)
         await client.stream.aclose()
-        await until(lambda: bank.backends[0].closed == 1, 0.5)
+        await wait_until(lambda: bank.backends[0].closed == 1, 0.5)
 
 
 async def test_a_connection_that_the_backend_closed_is_not_used_again() -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         assert (await bank.ask("a0", "pay", body=b"x")).target == "200"
         await bank.backends[0].streams[0].aclose()
         assert (await bank.ask("a1", "pay", body=b"x")).target == "200"
@@ -155,7 +157,7 @@
 
 
 async def test_without_backends_it_is_nacked_with_a_time_to_come_back() -> None:
-    async with Bank() as bank:
+    async with LoopbackCluster() as bank:
         answer = await bank.ask("aa", "pay", body=b"x")
         assert answer.target == "503" and 0.0 < float(answer.headers["retry-after"]) <= 0.5
 
@@ -180,7 +182,7 @@
      (POST + b"Content-Length: 3\r\n\r\nabc" + POST + b"Content-Length: 3\r\n\r\nabc", "400")],
 )  # fmt: skip
 async def test_bad_input_is_told_and_harms_no_other_connection(raw: bytes, status: str) -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         other, bad = await bank.client(), await bank.client()
         assert (await bad.raw(raw)).target == status
         assert (await other.ask("aa", "look")).target == "200"
@@ -188,19 +190,19 @@
 
 
 async def test_bytes_that_follow_while_an_invocation_is_in_hand_end_it() -> None:
-    async with Bank(lambda _: None) as bank:
+    async with LoopbackCluster(lambda _: None) as bank:
         client = await bank.client()
         await client.send("aa", "look")
-        await until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].got)
         await client.stream.send(b"more")
         assert (await client.answer()).target == "400"
-        await until(lambda: bank.backends[0].closed == 1, 0.5)
+        await wait_until(lambda: bank.backends[0].closed == 1, 0.5)
 
 
 async def test_half_an_invocation_is_told_so_and_silence_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Was kept for 15 and 120 s, also while a byte now and then trickled in.
     monkeypatch.setattr(ClientConnection, "WHOLE", 0.3)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         silent, half, usual = await bank.client(), await bank.client(), await bank.client()
         assert (await usual.ask("aa", "look")).target == "200"
 
@@ -221,32 +223,32 @@
 async def test_a_watch_outlives_calls_that_take_longer_than_its_pace(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ended the node: the rest of the pace came out negative after a call that had waited.
     monkeypatch.setattr(Watch, "PACE", 0.0)
-    async with Bank(done, tells=lambda _: news(1)) as bank:
-        await until(lambda: len(bank.discovery.got) >= 10)
+    async with LoopbackCluster(done, tells=lambda _: list_reply(1)) as bank:
+        await wait_until(lambda: len(bank.discovery.got) >= 10)
         assert (await bank.ask("aa", "look")).target == "200"
-        assert bank.log.facts("a call for the list failed") is None
+        assert bank.log.find("a call for the list failed") is None
 
 
 async def test_the_list_is_watched_and_a_drain_kept() -> None:
-    def answer(got: Got) -> bytes | None:
+    def answer(got: ReceivedMessage) -> bytes | None:
         if "from=1&" in got.target and not got.target.endswith("=0"):
-            return news(2, {**listed(0, 1), "lifecycle": "terminating"})
-        return news(1) if got.target.endswith("=0") else None
+            return list_reply(2, {**list_line(0, 1), "lifecycle": "terminating"})
+        return list_reply(1) if got.target.endswith("=0") else None
 
-    async with Bank(done, done, tells=answer) as bank:
-        await until(lambda: any("from=2&" in got.target for got in bank.discovery.got), 8.0)
+    async with LoopbackCluster(done, done, tells=answer) as bank:
+        await wait_until(lambda: any("from=2&" in got.target for got in bank.discovery.got), 8.0)
         for number in range(6):
             assert (await bank.ask(f"a{number}", "look")).target == "200"
         assert not bank.backends[0].got and len(bank.backends[1].got) == 6
 
 
 async def test_a_failed_call_is_made_again() -> None:
-    async with Bank(done) as bank:
-        await until(lambda: len(bank.discovery.got) >= 2)
+    async with LoopbackCluster(done) as bank:
+        await wait_until(lambda: len(bank.discovery.got) >= 2)
         bank.discovery.answer = lambda _: reply(503)
         await bank.discovery.streams[-1].aclose()
         count = len(bank.discovery.got)
-        await until(lambda: len(bank.discovery.got) >= count + 3)
+        await wait_until(lambda: len(bank.discovery.got) >= count + 3)
         assert (await bank.ask("aa", "look")).target == "200"
 
 
@@ -254,22 +256,22 @@
     monkeypatch.setattr(Watch, "FIRST", 0.05)
     monkeypatch.setattr(Watch, "HOLD", 0.05)
     monkeypatch.setattr(Watch, "PATIENCE", 0.05)
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         # The watch's second call finds silence, as when the way to discovery is cut.
-        await until(lambda: bank.discovery.closed >= 1)
+        await wait_until(lambda: bank.discovery.closed >= 1)
         bank.discovery.answer = lambda _: None
-        await until(lambda: bank.discovery.closed >= 3)
-        assert bank.log.facts("a call for the list failed") is not None
-        bank.discovery.answer = lambda got: news(7, listed(0, 1, "terminating"), whole=True)
-        await until(lambda: any("from=7" in got.target for got in bank.discovery.got))
+        await wait_until(lambda: bank.discovery.closed >= 3)
+        assert bank.log.find("a call for the list failed") is not None
+        bank.discovery.answer = lambda got: list_reply(7, list_line(0, 1, "terminating"), whole=True)
+        await wait_until(lambda: any("from=7" in got.target for got in bank.discovery.got))
         assert (await bank.ask("aa", "look")).target == "503"
         began, count = anyio.current_time(), len(bank.discovery.got)
-        await until(lambda: len(bank.discovery.got) >= count + 4)
+        await wait_until(lambda: len(bank.discovery.got) >= count + 4)
         assert anyio.current_time() - began > 2 * Watch.PACE  # not as fast as it answers
 
 
 async def test_idle_connections_make_room_for_others() -> None:
-    async with Bank(done, sockets=50) as bank:
+    async with LoopbackCluster(done, sockets=50) as bank:
         held = [await bank.client() for _ in range(30)]
         assert all([(await bank.ask(f"a{number}", "look")).target == "200" for number in range(4)])
         assert len(held) == 30
@@ -277,7 +279,7 @@
 
 async def test_clients_that_ask_once_and_keep_their_connection_leave_room_for_others() -> None:
     # A node with nothing to do was not asked: clients had no connection left to ask on (incident r936087).
-    async with Bank(done, sockets=120) as bank:
+    async with LoopbackCluster(done, sockets=120) as bank:
         used = await bank.client()
         kept = [await bank.client() for _ in range(36)]
         for number, client in enumerate(kept):
@@ -307,7 +309,7 @@
     chance = random.Random(3)
     whole = b"POST /pay?key=1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: %d\r\nContent-Length: 3\r\n\r\nabc"
     methods = [b"HEAD", b"CONNECT", b"OPTIONS", b"GET", b"POST"]
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         for number in range(150):
             raw = bytearray(whole % number)
             if chance.random() < 0.3:
@@ -318,11 +320,11 @@
             await client.stream.send(bytes(raw[: chance.randrange(len(raw) + 40)]))
             await client.stream.aclose()
         assert (await bank.ask("aa", "look")).target == "200"
-        assert not bank.log.facts("a client's connection failed")
+        assert not bank.log.find("a client's connection failed")
 
 
 async def test_a_head_is_answered_without_a_body() -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         client = await bank.client()
         head = b"HEAD /look HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\nConnection: close\r\n\r\n"
         await client.stream.send(head)
@@ -334,11 +336,11 @@
 
 
 async def test_ready_is_told_and_one_id_is_taken_once() -> None:
-    async with Bank(lambda _: None) as bank:
+    async with LoopbackCluster(lambda _: None) as bank:
         client = await bank.client()
         assert (await client.raw(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")).target == "200"
         await client.send("aa", "look", 400)
-        await until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].got)
         assert (await bank.ask("aa", "look")).target == "400"
 
 
@@ -348,7 +350,7 @@
     zones: dict[str, set[int]] = {}
 
     def rough(number: int):
-        def answer(got: Got) -> bytes | None:
+        def answer(got: ReceivedMessage) -> bytes | None:
             if got.target == "/health/live":
                 return reply(200)
             what = chance.random()
@@ -366,9 +368,9 @@
 
         return answer
 
-    answers: dict[str, Got] = {}
+    answers: dict[str, ReceivedMessage] = {}
 
-    async def play(bank: Bank, caller: int) -> None:
+    async def play(bank: LoopbackCluster, caller: int) -> None:
         client = await bank.client()
         for number in range(30):
             id = f"{caller}-{number}"
@@ -388,7 +390,7 @@
                 assert len(zones.get(id, ())) <= 1
                 assert answers[id].target != "503" or ran[id] == 0
 
-    async with Bank(*(rough(number) for number in range(6))) as bank:
+    async with LoopbackCluster(*(rough(number) for number in range(6))) as bank:
         async with anyio.create_task_group() as tasks:
             for caller in range(12):
                 tasks.start_soon(play, bank, caller)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,7 +9,17 @@
 
 import anyio
 import pytest
-from harness import READY, Bank, Got, called, config, listed, news, reply, until
+from harness import (
+    READY_REQUEST,
+    LoopbackCluster,
+    ReceivedMessage,
+    config,
+    list_line,
+    list_reply,
+    read_reply,
+    reply,
+    wait_until,
+)
 from test_process import NODE_COMMAND
 
 from thornladder.interface import Entry, ListKind, State
@@ -23,7 +33,7 @@
 pytestmark = pytest.mark.anyio
 
 
-def done(_: Got) -> bytes:
+def done(_: ReceivedMessage) -> bytes:
     return reply(200)
 
 
@@ -32,12 +42,12 @@
 
 
 async def test_status_says_yes_once_the_list_is_known_and_no_before() -> None:
-    async with Bank(done, tells=lambda _: None) as bank:
+    async with LoopbackCluster(done, tells=lambda _: None) as bank:
         status, facts = await bank.call("GET", "/status")
         assert (status, facts["ready"]) == (503, False)
-        bank.discovery.answer = lambda got: news(1) if got.target.endswith("=0") else None
+        bank.discovery.answer = lambda got: list_reply(1) if got.target.endswith("=0") else None
         await bank.discovery.streams[0].aclose()
-        await until(lambda: len(bank.discovery.got) >= 3)
+        await wait_until(lambda: len(bank.discovery.got) >= 3)
         status, facts = await bank.call("GET", "/status")
         assert (status, facts["ready"], facts["backends"]) == (200, True, 1)
 
@@ -55,11 +65,11 @@
 
 @pytest.mark.parametrize("raw, status", BAD, ids=[str(number) for number in range(len(BAD))])
 async def test_what_is_no_call_is_told_so_and_changes_nothing(raw: bytes, status: int) -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         async with await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
             await stream.send(raw)
             with anyio.fail_after(1.0):
-                assert (await called(stream))[0] == status
+                assert (await read_reply(stream))[0] == status
         assert (await bank.call("GET", "/status"))[1]["standby"] is False
 
 
@@ -71,7 +81,7 @@
     ids=[str(number) for number in range(12)],
 )  # fmt: skip
 async def test_maintenance_of_what_is_no_backend_is_a_no(text: bytes, status: int) -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         for path in ("/maintenance/enter", "/maintenance/exit"):
             assert (await bank.call("POST", path, text))[0] == status
         assert (await bank.call("GET", "/status"))[1]["maintenance"] == []
@@ -82,7 +92,7 @@
     chance = random.Random(11)
     text = body("s0")
     raw = b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
-    async with Bank(done, done, sockets=80) as bank:
+    async with LoopbackCluster(done, done, sockets=80) as bank:
         crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * Admin.MOST)]
         for each in crowd[::2]:
             await each.send(b"POST /sta")
@@ -93,7 +103,7 @@
                     size = chance.randrange(1, 9)
                     await stream.send(raw[at : at + size])
                     at += size
-                assert (await called(stream))[0] == 200
+                assert (await read_reply(stream))[0] == 200
         assert (await bank.call("GET", "/status"))[1]["maintenance"] == ["s0"]
         assert (await bank.ask("a0", "look")).target == "200"
         for each in crowd:
@@ -102,17 +112,17 @@
 
 async def test_a_call_that_does_not_come_whole_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Admin, "WHOLE", 0.1)
-    async with Bank(done) as bank, await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
+    async with LoopbackCluster(done) as bank, await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
         await stream.send(
             b"POST /standby HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
         )
         with anyio.fail_after(1.0):
             assert (await stream.receive()).startswith(b"HTTP/1.1 100 ")
-            assert (await called(stream))[0] == 408
+            assert (await read_reply(stream))[0] == 408
 
 
 async def test_what_is_out_by_hand_gets_nothing_and_comes_back_cold_and_in_use() -> None:
-    async with Bank(done, done) as bank:
+    async with LoopbackCluster(done, done) as bank:
         for number in range(8):
             await bank.ask(f"a{number}", "look")
         first = bank.backends[0]
@@ -122,13 +132,13 @@
                 200,
                 {"host": "s0", "maintenance": True},
             )
-        await until(lambda: first.closed == first.opened)  # what stood idle went
+        await wait_until(lambda: first.closed == first.opened)  # what stood idle went
         count = len(first.got)
         # Discovery lists it as running, and as started anew, all the while.
-        again = {**listed(0, first.port), "startedAtMs": 1}
-        bank.discovery.answer = lambda got: news(2, again) if "from=1&" in got.target else None
+        again = {**list_line(0, first.port), "startedAtMs": 1}
+        bank.discovery.answer = lambda got: list_reply(2, again) if "from=1&" in got.target else None
         await bank.discovery.streams[-1].aclose()
-        await until(lambda: any("from=2&" in got.target for got in bank.discovery.got))
+        await wait_until(lambda: any("from=2&" in got.target for got in bank.discovery.got))
         for number in range(8):
             assert (await bank.ask(f"b{number}", "look")).target == "200"
         assert len(first.got) == count
@@ -147,21 +157,21 @@
 
 async def test_an_old_ejection_does_not_outlast_a_return_by_hand() -> None:
     dead = True
-    async with Bank(lambda _: None if dead else reply(200)) as bank:
+    async with LoopbackCluster(lambda _: None if dead else reply(200)) as bank:
         clients = [await bank.client() for _ in range(2)]
         for number, client in enumerate(clients):
             await client.send(f"a{number}", "pay", body=b"x")
-        await until(lambda: any("ejected s0: hung" in line for line, _ in bank.log.lines))
+        await wait_until(lambda: any("ejected s0: hung" in line for line, _ in bank.log.lines))
         await bank.call("POST", "/maintenance/enter", body("s0"))
         dead = False
         await bank.call("POST", "/maintenance/exit", body("s0"))
-        await until(lambda: any("readmitted s0" in line for line, _ in bank.log.lines), 0.5)
+        await wait_until(lambda: any("readmitted s0" in line for line, _ in bank.log.lines), 0.5)
 
 
 async def test_standby_sends_clients_away_and_active_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Front, "AWAY", 0.4)
     monkeypatch.setattr(Front, "QUIET_FIRST", 0.1)
-    async with Bank(lambda got: None if got.target == "/look" else reply(200)) as bank:
+    async with LoopbackCluster(lambda got: None if got.target == "/look" else reply(200)) as bank:
         idle, used, busy = [await bank.client() for _ in range(3)]
         assert (await idle.ask("a0", "pay", body=b"x")).headers.get("connection") is None
         await busy.send("a1", "look", 800)
@@ -169,7 +179,7 @@
             assert await bank.call("POST", "/standby") == (200, {"standby": True})
         assert (await used.ask("a2", "pay", body=b"x")).headers["connection"] == "close"
         other = await bank.client()  # the door stays open
-        ready = await other.raw(READY)
+        ready = await other.raw(READY_REQUEST)
         assert (ready.target, ready.headers["connection"]) == ("503", "close")
         late = await bank.ask("a3", "pay", body=b"x")
         assert (late.target, late.headers["connection"]) == ("200", "close")
@@ -180,7 +190,7 @@
         for _ in range(2):
             assert await bank.call("POST", "/active") == (200, {"standby": False})
         back = await bank.client()
-        assert (await back.raw(READY)).target == "200"
+        assert (await back.raw(READY_REQUEST)).target == "200"
         assert (await back.ask("a4", "pay", body=b"x")).headers.get("connection") is None
 
 
@@ -256,7 +266,7 @@
 
 
 async def test_a_second_address_in_use_ends_the_start(tmp_path: Path) -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "admin_addr": f"127.0.0.1:{bank.admin}"}))
         environment = {**os.environ, "TMPDIR": str(tmp_path), "EDGE_CONFIG": str(path)}
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -12,20 +12,32 @@
 
 import anyio
 import pytest
-from harness import READY, SETTINGS, Bank, Client, Got, Peer, config, listed, news, reply, until
+from harness import (
+    READY_REQUEST,
+    SETTINGS,
+    Client,
+    FakeServer,
+    LoopbackCluster,
+    ReceivedMessage,
+    config,
+    list_line,
+    list_reply,
+    reply,
+    wait_until,
+)
 
 pytestmark = pytest.mark.anyio
 NODE_COMMAND = [sys.executable, "-B", "-m", "thornladder"]
 
 
 @asynccontextmanager
-async def running_node(folder: Path, *backends: Peer, info: dict | None = None):
+async def running_node(folder: Path, *backends: FakeServer, info: dict | None = None):
     """A node as a process of its own; yields it and its port."""
-    discovery = Peer(lambda got: news(1) if got.target.endswith("=0") else None)
+    discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
     async with anyio.create_task_group() as tasks:
         for peer in (*backends, discovery):
             await tasks.start(peer.serve)
-        lines = [listed(number, peer.port) for number, peer in enumerate(backends)]
+        lines = [list_line(number, peer.port) for number, peer in enumerate(backends)]
         path = folder / "config.json"
         path.write_text(json.dumps(config(lines, discovery.port, info=info)))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
@@ -49,15 +61,15 @@
 
 
 async def test_a_planned_end_answers_all_that_came(tmp_path: Path) -> None:
-    backend = Peer(lambda got: None if got.target == "/look" else reply(200))
+    backend = FakeServer(lambda got: None if got.target == "/look" else reply(200))
     async with running_node(tmp_path, backend) as (process, port):
         idle, busy, later = await connect(port), await connect(port), await connect(port)
         assert (await idle.ask("a0", "pay", body=b"x")).target == "200"
         await busy.send("a1", "look", 800)
-        await until(lambda: len(backend.got) == 2)
+        await wait_until(lambda: len(backend.got) == 2)
         process.send_signal(signal.SIGTERM)
         began = anyio.current_time()
-        while (await (await connect(port)).raw(READY)).target == "200":
+        while (await (await connect(port)).raw(READY_REQUEST)).target == "200":
             assert anyio.current_time() - began < 0.3
         late = await (await connect(port)).ask("a2", "pay", body=b"x")
         kept = await later.ask("a3", "pay", body=b"x")
@@ -86,14 +98,17 @@
             if answer.headers.get("connection") == "close":
                 client = await connect(port)  # comes as long as the front has not noticed
 
-    async with running_node(tmp_path, *(Peer(lambda _: reply(200)) for _ in range(3))) as (process, port):
+    async with running_node(tmp_path, *(FakeServer(lambda _: reply(200)) for _ in range(3))) as (
+        process,
+        port,
+    ):
         async with anyio.create_task_group() as tasks:
             for caller in range(16):
                 tasks.start_soon(play, port, caller)
-            await until(lambda: len(answered) > 300)
+            await wait_until(lambda: len(answered) > 300)
             process.send_signal(signal.SIGTERM)
             closing = len(answered)
-            await until(lambda: len(answered) > closing + 16)
+            await wait_until(lambda: len(answered) > closing + 16)
             leaving.set()
         assert await process.wait() == 0
         assert asked == answered.keys()
@@ -102,32 +117,32 @@
 async def test_a_new_configuration_moves_the_watch_and_nothing_else(tmp_path: Path) -> None:
     # SIGHUP ended the node.
     path = tmp_path / "config.json"
-    backend = Peer(lambda got: None if got.target == "/look" else reply(200))
+    backend = FakeServer(lambda got: None if got.target == "/look" else reply(200))
 
-    def elsewhere(got: Got) -> bytes | None:
-        return news(3) if got.target.endswith("=0") else None
+    def elsewhere(got: ReceivedMessage) -> bytes | None:
+        return list_reply(3) if got.target.endswith("=0") else None
 
-    def behind(got: Got) -> bytes | None:
+    def behind(got: ReceivedMessage) -> bytes | None:
         if "from" not in got.target:
-            return news(1, listed(0, backend.port), whole=True)
-        return news(0) if got.target.endswith("=0") else None
+            return list_reply(1, list_line(0, backend.port), whole=True)
+        return list_reply(0) if got.target.endswith("=0") else None
 
     async with running_node(tmp_path, backend) as (process, port), anyio.create_task_group() as tasks:
         old = json.loads(path.read_text())
-        places = [Peer(elsewhere), Peer(behind)]
+        places = [FakeServer(elsewhere), FakeServer(behind)]
         for place in places:
             await tasks.start(place.serve)
         busy = await connect(port)
         await busy.send("a0", "look", 900)
-        await until(lambda: backend.got)
+        await wait_until(lambda: backend.got)
         for place, first in zip(places, ("from=1&", "from=3&"), strict=True):
             # Twice in a row; with a bad file in between the one before it stays.
             for text in (json.dumps({**old, "discovery": f"127.0.0.1:{place.port}"}), "nonsense"):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: place.got)  # noqa: B023
+                await wait_until(lambda: place.got)  # noqa: B023
             assert first in place.got[0].target
-            await until(lambda: any("hold_ms=750" in got.target for got in place.got))  # noqa: B023
+            await wait_until(lambda: any("hold_ms=750" in got.target for got in place.got))  # noqa: B023
         assert "from" not in places[1].got[1].target  # it could not follow
         assert (await busy.answer()).target == "503"  # what was in hand went its way
         assert (await (await connect(port)).ask("a1", "pay", body=b"x")).target == "200"
@@ -166,7 +181,7 @@
 
 
 async def test_an_address_in_use_ends_it_with_one_line(tmp_path: Path) -> None:
-    async with Bank() as bank:
+    async with LoopbackCluster() as bank:
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "listen": f"127.0.0.1:{bank.port}"}))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -12,7 +12,7 @@
 
 import anyio
 import pytest
-from harness import OFFERINGS, SETTINGS, Bench, Got, Peer, config, entry, reply
+from harness import OFFERINGS, SETTINGS, FakeHost, FakeServer, ReceivedMessage, config, entry, reply
 from test_process import connect, running_node
 
 from thornladder import settings
@@ -73,7 +73,7 @@
 
 async def test_a_file_that_is_not_whole_is_turned_down_whole(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    backend = Peer(lambda _: reply(200))
+    backend = FakeServer(lambda _: reply(200))
     async with running_node(tmp_path, backend) as (process, port):
         lines, good = Lines(process), path.read_text()
         files = [("", "not JSON"), (good[:-9], "not JSON"), ("[]", "object")]
@@ -96,10 +96,10 @@
     path = tmp_path / "config.json"
     quick = False
 
-    def answer(got: Got) -> bytes | None:
+    def answer(got: ReceivedMessage) -> bytes | None:
         return reply(200) if quick else None
 
-    async with running_node(tmp_path, Peer(answer)) as (process, port):
+    async with running_node(tmp_path, FakeServer(answer)) as (process, port):
         lines = Lines(process)
         busy, gone = await connect(port), await connect(port)
         await busy.send("a0", "look", 600)
@@ -128,22 +128,22 @@
 
 
 def test_what_is_in_hand_keeps_its_kind_and_what_comes_has_the_new_one() -> None:
-    bench = Bench(copies=False)
+    bench = FakeHost(copies=False)
     told = settings.policy_arguments(SETTINGS)
-    bench.list([entry(number) for number in range(4)])
-    before = bench.come("a", "look")
+    bench.send_list([entry(number) for number in range(4)])
+    before = bench.submit("a", "look")
     stricter = [dataclasses.replace(OFFERINGS[0], idempotency=Idempotency.ONCE_ONLY), *OFFERINGS[2:]]
     limits = Limits(max_pushes=2, hedging=False, cancellation=True, probes=True, max_retry_after=0.5)
     bench.node.on_settings(bench.now, **{**told, "offerings": stricter, "limits": limits, "zone": "x"})
-    bench.end("a", 0, Outcome.CONNECTION_LOST)
+    bench.end_push("a", 0, Outcome.CONNECTION_LOST)
     assert len(before.pushes) == 2  # repeatable, as it came
-    after = bench.come("b", "look")
+    after = bench.submit("b", "look")
     after.offering = stricter[0]
-    bench.end("b", 0, Outcome.CONNECTION_LOST)
+    bench.end_push("b", 0, Outcome.CONNECTION_LOST)
     assert len(after.pushes) == 1 and after.final == "terminated"
-    third = bench.come("c", "book")
-    bench.end("c", 0, Outcome.REJECTED)
-    bench.end("c", 1, Outcome.REJECTED)
+    third = bench.submit("c", "book")
+    bench.end_push("c", 0, Outcome.REJECTED)
+    bench.end_push("c", 1, Outcome.REJECTED)
     assert len(third.pushes) == 2  # fewer than before
     assert "pay" not in bench.node.offerings
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from harness import COLD, OFFERINGS, Account, Bench, entry
+from harness import COLD, OFFERINGS, Account, FakeHost, entry
 
 from thornladder.decide import Health
 from thornladder.interface import ListKind, Outcome, State
@@ -16,49 +16,49 @@
 def test_rules_hold_in_random_runs(seed: int) -> None:
     rng = random.Random(seed)
     nodes, most = [(2, 9), (1, 1), (400, 60)][seed % 3]
-    bench = Bench(seed, copies=rng.random() < 0.5, probes=rng.random() < 0.5, nodes=nodes)
-    bench.list([entry(n) for n in range(rng.randint(0, most))], ListKind.RESTORED)
+    bench = FakeHost(seed, copies=rng.random() < 0.5, probes=rng.random() < 0.5, nodes=nodes)
+    bench.send_list([entry(n) for n in range(rng.randint(0, most))], ListKind.RESTORED)
     for step in range(600):
         chance = rng.random()
         if chance < 0.45:
-            bench.come(f"i{step}", rng.choice(OFFERINGS).name, rng.choice([None, 0.002, 0.1]))
-        elif chance < 0.8 and bench.open():
-            bench.end(*rng.choice(bench.open()), rng.choice(list(Outcome)))
+            bench.submit(f"i{step}", rng.choice(OFFERINGS).name, rng.choice([None, 0.002, 0.1]))
+        elif chance < 0.8 and bench.open_pushes():
+            bench.end_push(*rng.choice(bench.open_pushes()), rng.choice(list(Outcome)))
         elif chance < 0.83 and bench.accounts:
-            bench.leave(rng.choice(list(bench.accounts)))
+            bench.disconnect_client(rng.choice(list(bench.accounts)))
         elif chance < 0.88:
             state = rng.choice(list(State))
             number = rng.randrange(most + 3)
-            if state is State.RUNNING or f"b{number:02}" in bench.places:
-                bench.list([entry(number, state, rng.choice([None, bench.now - 3]))], ListKind.DELTA)
+            if state is State.RUNNING or f"b{number:02}" in bench.entries:
+                bench.send_list([entry(number, state, rng.choice([None, bench.now - 3]))], ListKind.DELTA)
         elif chance < 0.89:
-            bench.list([entry(n) for n in range(rng.randint(0, most))])
+            bench.send_list([entry(n) for n in range(rng.randint(0, most))])
         elif chance < 0.9:
             bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [])
         elif chance < 0.93 and bench.probes:
-            bench.probed(bench.probes.pop(), rng.choice(list(Outcome)))
+            bench.answer_probe(bench.probes.pop(), rng.choice(list(Outcome)))
         bench.advance(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]))
         for id, account in bench.accounts.items():
             if not account.final:
-                assert id in bench.node.live and len(account.ended) < len(account.pushes), "left lying"
-    for id, number in bench.open():
-        bench.end(id, number, Outcome.TIMED_OUT)
-    while bench.open():
-        bench.end(*bench.open()[0], Outcome.CANCELLED)
+                assert id in bench.node.active and len(account.ended) < len(account.pushes), "left lying"
+    for id, number in bench.open_pushes():
+        bench.end_push(id, number, Outcome.TIMED_OUT)
+    while bench.open_pushes():
+        bench.end_push(*bench.open_pushes()[0], Outcome.CANCELLED)
     assert all(account.final for account in bench.accounts.values())
-    assert not bench.node.live
+    assert not bench.node.active
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_burst_stays_within_the_cold_budget(seed: int) -> None:
-    bench = Bench(seed)
-    bench.list([entry(n) for n in range(4)], ListKind.RESTORED)
+    bench = FakeHost(seed)
+    bench.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
     bench.advance(6.0)
-    bench.list([entry(9)], ListKind.DELTA)
+    bench.send_list([entry(9)], ListKind.DELTA)
     rng = random.Random(seed)
     start, sent = bench.now, []
     for step in range(1500):
-        account = bench.come(f"i{step}", "look")
+        account = bench.submit(f"i{step}", "look")
         sent += [(bench.now, 0.03) for backend, _ in account.pushes[:1] if backend == "b09"]
         # A typical backend has at least one core; the node keeps to its half of what two nodes may send.
         window = [cost for when, cost in sent if when > bench.now - COLD.overload_window]
@@ -70,104 +70,106 @@
 
 
 def test_once_only_is_terminated_when_it_may_have_run() -> None:
-    bench = Bench()
-    bench.list([entry(n) for n in range(4)])
-    account = bench.come("a", "pay")
-    bench.end("a", 0, Outcome.ERROR)
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(4)])
+    account = bench.submit("a", "pay")
+    bench.end_push("a", 0, Outcome.ERROR)
     assert account.final == "terminated" and len(account.pushes) == 1
-    account = bench.come("b", "pay")
-    bench.end("b", 0, Outcome.REJECTED)
+    account = bench.submit("b", "pay")
+    bench.end_push("b", 0, Outcome.REJECTED)
     assert len(account.pushes) == 2 and not account.final
 
 
 def test_nothing_to_push_to_is_answered_at_once() -> None:
-    bench = Bench()
-    bench.list([])
-    assert bench.come("a", "pay").final == "nacked"
-    bench.list([entry(1)])
-    assert not bench.come("b", "pay").final
+    bench = FakeHost()
+    bench.send_list([])
+    assert bench.submit("a", "pay").final == "nacked"
+    bench.send_list([entry(1)])
+    assert not bench.submit("b", "pay").final
 
 
 def test_a_crowd_long_gone_does_not_keep_invocations_away() -> None:
-    bench = Bench()
-    bench.list([entry(n) for n in range(3)])
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(3)])
     for step in range(300):
-        bench.come(f"a{step}")
+        bench.submit(f"a{step}")
         bench.advance(0.01)
         if step % 60 == 59:
-            for id, number in bench.open():
-                bench.end(id, number, Outcome.COMPLETED)
-    assert any(bench.come(f"b{step}").final == "nacked" for step in range(20))
+            for id, number in bench.open_pushes():
+                bench.end_push(id, number, Outcome.COMPLETED)
+    assert any(bench.submit(f"b{step}").final == "nacked" for step in range(20))
     bench.complete_all()
     bench.advance(10.0)
-    assert not bench.come("c").final
+    assert not bench.submit("c").final
 
 
 def test_a_connection_that_breaks_now_and_then_is_no_dead_process() -> None:
     """Guards against sound backends kept out and ramped for single connections that break."""
-    bench = Bench()
-    bench.list([entry(n) for n in range(4)], ListKind.RESTORED)
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
     bench.advance(6.0)
     rng = random.Random(4)
     for step in range(400):
-        bench.come(f"i{step}")
+        bench.submit(f"i{step}")
         if rng.random() < 0.1:
             bench.advance(0.01)
-            bench.end(f"i{step}", 0, Outcome.CONNECTION_LOST)
+            bench.end_push(f"i{step}", 0, Outcome.CONNECTION_LOST)
         bench.complete_all(0.02)
-    assert not bench.lines and not any(b.ramp_start for b in bench.node.roster.usable)
+    assert not bench.log_lines and not any(b.ramp_start for b in bench.node.registry.usable)
 
 
-def breaks(bench: Bench, share: float, steps: int, dead: str = "") -> list[Account]:
+def breaks(bench: FakeHost, share: float, steps: int, dead: str = "") -> list[Account]:
     """Plays invocations of which `share` breaks off wherever it goes, and everything does on one backend."""
     chance = random.Random(11)
     accounts = []
     for step in range(steps):
-        account = bench.come(f"b{len(bench.accounts)}", "look" if step % 2 else "pay", tenant="")
+        account = bench.submit(f"b{len(bench.accounts)}", "look" if step % 2 else "pay", tenant="")
         accounts.append(account)
         bench.advance(0.01)
-        for id, number in bench.open():
+        for id, number in bench.open_pushes():
             if bench.accounts[id].pushes[number][0] == dead:
-                bench.end(id, number, Outcome.UNREACHABLE)
+                bench.end_push(id, number, Outcome.UNREACHABLE)
             else:
                 broke = chance.random() < share
-                bench.end(id, number, Outcome.CONNECTION_LOST if broke else Outcome.COMPLETED)
+                bench.end_push(id, number, Outcome.CONNECTION_LOST if broke else Outcome.COMPLETED)
     return accounts
 
 
 def test_connections_that_break_alike_everywhere_are_neither_a_crowd_nor_dead_processes() -> None:
     # Half of all invocations were nacked, and sound backends ejected as dead and ramped, again and again.
-    bench = Bench(nodes=1)
-    bench.list([entry(n) for n in range(10)], ListKind.RESTORED)
+    bench = FakeHost(nodes=1)
+    bench.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
     breaks(bench, 0.15, 200)
-    bench.lines.clear()
+    bench.log_lines.clear()
     accounts = breaks(bench, 0.15, 1500)
     assert sum(account.final == "nacked" for account in accounts) < 0.02 * len(accounts)
-    assert len(bench.lines) <= 4, bench.lines  # ejected and readmitted, by rare chance
+    assert len(bench.log_lines) <= 4, bench.log_lines  # ejected and readmitted, by rare chance
     assert all(seat.weight == 100 for seat in bench.node.rotation.seats)  # and never ramped for it
 
 
 def test_a_dead_process_is_found_among_connections_that_break_everywhere() -> None:
-    bench = Bench(nodes=1, probes=False)
-    bench.list([entry(n) for n in range(10)], ListKind.RESTORED)
+    bench = FakeHost(nodes=1, probes=False)
+    bench.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
     used = Counter(account.pushes[0][0] for account in breaks(bench, 0.15, 400))
     dead = used.most_common(1)[0][0]
     met = sum(backend == dead for account in breaks(bench, 0.15, 300, dead) for backend, _ in account.pushes)
-    assert f"ejected {dead}: dead" in bench.lines
+    assert f"ejected {dead}: dead" in bench.log_lines
     assert met <= Health.MOST_SIGNS + 4, "its trials and the signs that it took"
 
 
 def test_a_few_errors_of_all_alike_hardly_count_in_the_expected_wait() -> None:
     """Guards against a tenth nacked while each backend spoils an answer now and then."""
-    bench, rng, prices = Bench(nodes=1), random.Random(5), []
-    bench.list([entry(n) for n in range(4)], ListKind.RESTORED)
+    bench, rng, prices = FakeHost(nodes=1), random.Random(5), []
+    bench.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
     health = bench.node.health
     for step in range(2000):
-        bench.come(f"i{step}")
+        bench.submit(f"i{step}")
         bench.advance(0.02)
-        while bench.open():
-            bench.end(*bench.open()[0], Outcome.ERROR if rng.random() < 0.05 else Outcome.COMPLETED)
-        for backend in bench.node.roster.usable if step > 200 else ():
+        while bench.open_pushes():
+            bench.end_push(
+                *bench.open_pushes()[0], Outcome.ERROR if rng.random() < 0.05 else Outcome.COMPLETED
+            )
+        for backend in bench.node.registry.usable if step > 200 else ():
             free = health.slowness(backend, 0.05, bench.now) * 0.05
             prices.append(health.wait(backend, 0.05, bench.now) - free)
     assert sum(prices) / len(prices) < 0.5 * 0.5 * 0.05, "half of what an error costs, for each"
@@ -175,173 +177,177 @@
 
 def test_a_backend_that_turns_some_away_at_random_is_not_held_back() -> None:
     """Guards against half of a fleet held back for pushes turned away one by one."""
-    bench, rng, held, met = Bench(), random.Random(6), 0, 0
-    bench.list([entry(n) for n in range(2)], ListKind.RESTORED)
+    bench, rng, held, met = FakeHost(), random.Random(6), 0, 0
+    bench.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
     for step in range(1500):
-        account = bench.come(f"i{step}")
+        account = bench.submit(f"i{step}")
         bench.advance(0.02)
         for number, (backend, _) in enumerate(account.pushes):
             met += 1
-            bench.end(f"i{step}", number, Outcome.REJECTED if rng.random() < 0.35 else Outcome.COMPLETED)
-            held += not bench.node.health.pickable(bench.node.roster.known[backend], bench.now + 0.02)
+            bench.end_push(f"i{step}", number, Outcome.REJECTED if rng.random() < 0.35 else Outcome.COMPLETED)
+            held += not bench.node.health.pickable(bench.node.registry.backends[backend], bench.now + 0.02)
     assert met > 1500 and held < 0.05 * met
 
 
 def test_answers_lost_one_by_one_are_no_crowd_and_no_hung_backend() -> None:
     """Guards against most of a fleet's traffic nacked because some answers never come while others do."""
-    bench, rng, nacked, due = Bench(), random.Random(8), 0, []
-    bench.list([entry(n) for n in range(2)], ListKind.RESTORED)
+    bench, rng, nacked, due = FakeHost(), random.Random(8), 0, []
+    bench.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
     for step in range(1200):
-        account = bench.come(f"i{step}", "pay")
+        account = bench.submit(f"i{step}", "pay")
         nacked += not account.pushes
         if account.pushes and rng.random() < 0.1:
             due.append((bench.now + 0.95, f"i{step}"))
         elif account.pushes:
             bench.advance(0.02)
-            bench.end(f"i{step}", 0, Outcome.COMPLETED)
+            bench.end_push(f"i{step}", 0, Outcome.COMPLETED)
         bench.advance(0.03)
         while due and due[0][0] <= bench.now:
-            bench.end(due.pop(0)[1], 0, Outcome.TIMED_OUT)
-    assert nacked < 60 and not bench.lines
+            bench.end_push(due.pop(0)[1], 0, Outcome.TIMED_OUT)
+    assert nacked < 60 and not bench.log_lines
 
 
 def test_a_trial_that_is_turned_away_is_not_repeated_at_once() -> None:
-    bench = Bench(probes=False)
-    bench.list([entry(n) for n in range(4)])
-    bench.come("a")
+    bench = FakeHost(probes=False)
+    bench.send_list([entry(n) for n in range(4)])
+    bench.submit("a")
     broken = bench.lose("a")
     for step in range(100):
-        account = bench.come(f"i{step}")
+        account = bench.submit(f"i{step}")
         bench.advance(0.03)
         for number, (backend, _) in enumerate(account.pushes):
             if number not in account.ended:
-                bench.end(f"i{step}", number, Outcome.REJECTED if backend == broken else Outcome.COMPLETED)
+                bench.end_push(
+                    f"i{step}", number, Outcome.REJECTED if backend == broken else Outcome.COMPLETED
+                )
     pushes = [backend for account in bench.accounts.values() for backend, _ in account.pushes]
     assert 2 <= pushes.count(broken) <= 5
 
 
 def test_the_room_for_pushes_grows_back_after_a_jam() -> None:
-    bench = Bench()
-    bench.list([entry(n) for n in range(4)])
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(4)])
     admission = bench.node.admission
-    admission.room = 2.2
+    admission.concurrency_limit = 2.2
     for step in range(400):
         for copy in range(4):
-            bench.come(f"i{step}.{copy}")
+            bench.submit(f"i{step}.{copy}")
         bench.complete_all(0.02)
-    assert admission.room > 6.0
+    assert admission.concurrency_limit > 6.0
 
 
 def test_half_of_the_fleet_dead_gets_no_more_than_trials() -> None:
-    bench = Bench(probes=False)
-    bench.list([entry(n) for n in range(8)])
+    bench = FakeHost(probes=False)
+    bench.send_list([entry(n) for n in range(8)])
     for step in range(600):
-        account = bench.come(f"i{step}")
+        account = bench.submit(f"i{step}")
         bench.advance(0.01)
         for number in range(9):
             if number < len(account.pushes) and number not in account.ended:
                 gone = int(account.pushes[number][0][1:]) < 5
-                bench.end(f"i{step}", number, Outcome.UNREACHABLE if gone else Outcome.COMPLETED)
+                bench.end_push(f"i{step}", number, Outcome.UNREACHABLE if gone else Outcome.COMPLETED)
     late = [account for id, account in bench.accounts.items() if int(id[1:]) >= 100]
     assert all(account.final == "completed" for account in late)
     assert sum(len(account.pushes) for account in late) < 1.1 * len(late)
 
 
 def test_a_flood_of_one_tenant_leaves_the_others_their_share() -> None:
-    bench = Bench()
-    bench.list([entry(n) for n in range(8)])
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(8)])
     asked = {"t": [], "u": []}
     for step in range(1000):
         tenant = "u" if step % 15 == 0 else "t"
-        asked[tenant].append(bench.come(f"i{step}", tenant=tenant))
+        asked[tenant].append(bench.submit(f"i{step}", tenant=tenant))
         bench.advance(0.002)
-        for id, number in bench.open():
-            if bench.now - bench.accounts[id].pushes[number][1] > 0.006 * len(bench.open()):
-                bench.end(id, number, Outcome.COMPLETED)
+        for id, number in bench.open_pushes():
+            if bench.now - bench.accounts[id].pushes[number][1] > 0.006 * len(bench.open_pushes()):
+                bench.end_push(id, number, Outcome.COMPLETED)
     share = {t: sum(a.final == "nacked" for a in got) / len(got) for t, got in asked.items()}
     assert share["t"] > 0.3
     assert share["u"] < 0.5 * share["t"], share
 
 
 def test_a_trial_that_is_due_turns_nothing_away() -> None:
-    bench = Bench(probes=False)
-    bench.list([entry(n) for n in range(4)])
-    bad = bench.come("a").pushes[0][0]
-    bench.node.health.views[bad].erred.add(9.0, bench.now)
-    bench.end("a", 0, Outcome.ERROR)
-    assert bench.lines == [f"ejected {bad}: erring"]
+    bench = FakeHost(probes=False)
+    bench.send_list([entry(n) for n in range(4)])
+    bad = bench.submit("a").pushes[0][0]
+    bench.node.health.stats[bad].erred.add(9.0, bench.now)
+    bench.end_push("a", 0, Outcome.ERROR)
+    assert bench.log_lines == [f"ejected {bad}: erring"]
     bench.complete_all()
     bench.advance(2.0)
     for step in range(20):
-        assert not bench.come(f"i{step}").final, "turned away for the trial's sake"
+        assert not bench.submit(f"i{step}").final, "turned away for the trial's sake"
         bench.complete_all()
 
 
 def test_the_room_for_pushes_has_a_top() -> None:
     """Guards against queues that make a backend slow although every answer is in time."""
-    bench = Bench()
-    bench.list([entry(n) for n in range(4)])
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(4)])
     admission, few = bench.node.admission, 4  # pushes out at two backends that are its part
     for step in range(3000):
         admission.ended(False, few, bench.now + 0.003 * step)
-    assert admission.room == 6.0 * 4 / 2
+    assert admission.concurrency_limit == 6.0 * 4 / 2
     for step in range(3000):
         admission.ended(False, 100, bench.now + 10.0 + 0.003 * step)
-    assert 6.0 * 4 / 2 < admission.room <= 2.0 * 100, "no more than twice what has been borne in time"
+    assert 6.0 * 4 / 2 < admission.concurrency_limit <= 2.0 * 100, (
+        "no more than twice what has been borne in time"
+    )
 
 
 def test_a_sentence_that_starts_during_a_trial_leaves_the_next_trial_open() -> None:
-    bench = Bench(probes=False, nodes=1)
-    bench.list([entry(1)])
+    bench = FakeHost(probes=False, nodes=1)
+    bench.send_list([entry(1)])
     for id in ("a", "b", "x"):
-        bench.come(id, "pay")
+        bench.submit(id, "pay")
     for id in ("a", "x"):
-        bench.end(id, 0, Outcome.CONNECTION_LOST)
+        bench.end_push(id, 0, Outcome.CONNECTION_LOST)
     bench.advance(2.0)
-    trial = bench.come("c")
+    trial = bench.submit("c")
     assert len(trial.pushes) == 1
-    bench.end("b", 0, Outcome.CONNECTION_LOST)  # an older push, so a new sentence
-    bench.end("c", 0, Outcome.TIMED_OUT)
+    bench.end_push("b", 0, Outcome.CONNECTION_LOST)  # an older push, so a new sentence
+    bench.end_push("c", 0, Outcome.TIMED_OUT)
     bench.advance(10.0)
-    assert len(bench.come("d").pushes) == 1, "the backend stayed out for good"
+    assert len(bench.submit("d").pushes) == 1, "the backend stayed out for good"
 
 
 def test_the_window_counts_from_the_first_of_several_copies() -> None:
     """Guards against a window that starts anew when the first copy turns out never to have run."""
-    bench = Bench()
-    bench.list([entry(n) for n in range(0, 12, 2)])
-    account = bench.come("a", "book")
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(0, 12, 2)])
+    account = bench.submit("a", "book")
     while len(account.pushes) < 2:
         bench.advance(0.02)
-    bench.end("a", 0, Outcome.UNREACHABLE)
+    bench.end_push("a", 0, Outcome.UNREACHABLE)
     bench.advance(0.31 - (bench.now - account.pushes[0][1]))
-    bench.end("a", 1, Outcome.ERROR)
+    bench.end_push("a", 1, Outcome.ERROR)
     assert len(account.pushes) == 2 and account.final == "terminated"
 
 
 @pytest.mark.parametrize(("took", "least", "most"), [(0.06, 0, 8), (2.0, 80, 200)])
 def test_a_trickle_is_turned_away_only_in_an_overload(took: float, least: int, most: int) -> None:
     """Guards against rooms counted in whole pushes, of which 400 nodes have less than one each."""
-    bench, rng = Bench(nodes=400, copies=False), random.Random(5)
-    bench.list([entry(n) for n in range(60)])
+    bench, rng = FakeHost(nodes=400, copies=False), random.Random(5)
+    bench.send_list([entry(n) for n in range(60)])
     for step in range(5000):
         if rng.random() < 0.04:
-            bench.come(f"i{step}", rng.choice(["look", "pay"]), left=5.0, tenant="")
+            bench.submit(f"i{step}", rng.choice(["look", "pay"]), time_left=5.0, tenant="")
         bench.advance(0.01)
-        for id, number in bench.open():
+        for id, number in bench.open_pushes():
             if bench.now - bench.accounts[id].pushes[number][1] > took:
-                bench.end(id, number, Outcome.COMPLETED)
+                bench.end_push(id, number, Outcome.COMPLETED)
     nacked = sum(account.final == "nacked" for account in bench.accounts.values())
     assert least <= nacked <= most, (nacked, len(bench.accounts))
 
 
 def test_a_tenant_within_its_share_of_a_trickle_is_not_over_it() -> None:
-    bench, rng, over = Bench(nodes=400), random.Random(5), 0
-    bench.list([entry(n) for n in range(60)])
+    bench, rng, over = FakeHost(nodes=400), random.Random(5), 0
+    bench.send_list([entry(n) for n in range(60)])
     for step in range(300):
         bench.advance(rng.expovariate(0.2))  # its allowance is 0.25 a second
-        bench.come(f"i{step}")
-        over += bench.node.live[f"i{step}"].over_share
+        bench.submit(f"i{step}")
+        over += bench.node.active[f"i{step}"].over_share
         bench.complete_all()
     assert over < 45
 
@@ -349,16 +355,16 @@
 @pytest.mark.parametrize("burst", [False, True])
 def test_many_nodes_together_do_not_push_a_cold_backend_over(burst: bool) -> None:
     """Guards against each node's first push passing for free: 300 nodes, and one cold backend is left."""
-    rng, benches, reached = random.Random(7), [Bench(seed, nodes=300) for seed in range(300)], []
+    rng, benches, reached = random.Random(7), [FakeHost(seed, nodes=300) for seed in range(300)], []
     for bench in benches:
-        bench.list([entry(n) for n in range(6)], ListKind.RESTORED)
+        bench.send_list([entry(n) for n in range(6)], ListKind.RESTORED)
         bench.advance(8.0)
-        bench.list([entry(9)] + [entry(n, State.GONE) for n in range(6)], ListKind.DELTA)
+        bench.send_list([entry(9)] + [entry(n, State.GONE) for n in range(6)], ListKind.DELTA)
     start = benches[0].now
     for step in range(30):
         for bench in benches:
             if burst and step % 10 == 0 and rng.random() < 0.5 or not burst and rng.random() < 0.047:
-                account = bench.come(f"i{step}")
+                account = bench.submit(f"i{step}")
                 reached += [(bench.now, 0.03)] * len(account.pushes)
                 bench.advance(0.04)
                 bench.complete_all(0.01)
@@ -370,54 +376,56 @@
 
 
 def test_a_node_that_hears_no_list_stops_when_it_is_deemed_told() -> None:
-    bench = Bench()
-    bench.list([entry(n) for n in range(3)], ListKind.RESTORED)
+    bench = FakeHost()
+    bench.send_list([entry(n) for n in range(3)], ListKind.RESTORED)
     bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [])
     bench.advance(9.0)
-    assert bench.come("a").pushes
+    assert bench.submit("a").pushes
     bench.complete_all()
     bench.advance(9.0)  # asked again meanwhile, and no answer at all
     bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [])
-    assert bench.come("b").pushes, "after a failed call the rule waits four times as long"
+    assert bench.submit("b").pushes, "after a failed call the rule waits four times as long"
     bench.complete_all()
     bench.advance(40.0)
-    assert bench.come("c").final == "nacked"
-    bench.list([entry(1)])
-    assert bench.come("d").pushes
+    assert bench.submit("c").final == "nacked"
+    bench.send_list([entry(1)])
+    assert bench.submit("d").pushes
 
 
 def test_a_push_past_its_target_time_no_longer_fills_the_room() -> None:
     """Guards against nacks in a fleet of which a part is stuck: old pushes there say nothing of the rest."""
-    bench = Bench(copies=False, probes=False)
-    bench.list([entry(n) for n in range(8)])
-    bench.come("a", "pay")
+    bench = FakeHost(copies=False, probes=False)
+    bench.send_list([entry(n) for n in range(8)])
+    bench.submit("a", "pay")
     bench.advance(0.2)
-    assert bench.node.out == 1
+    assert bench.node.in_flight == 1
     bench.advance(0.2)
-    assert bench.node.out == 0
-    bench.end("a", 0, Outcome.COMPLETED)
-    assert bench.node.out == 0
+    assert bench.node.in_flight == 0
+    bench.end_push("a", 0, Outcome.COMPLETED)
+    assert bench.node.in_flight == 0
 
 
 def test_trials_of_many_nodes_do_not_come_at_once() -> None:
     """Guards against hundreds of nodes that try a dead backend in step and so jam it when it is back."""
     rng, tried = random.Random(9), []
     for seed in range(200):
-        bench = Bench(seed, nodes=200, probes=False)
-        bench.list([entry(0)])
+        bench = FakeHost(seed, nodes=200, probes=False)
+        bench.send_list([entry(0)])
         for id in "ab":
-            bad = bench.come(id, "pay", tenant="").pushes[0][0]
+            bad = bench.submit(id, "pay", tenant="").pushes[0][0]
         for id in "ab":
-            bench.end(id, 0, Outcome.CONNECTION_LOST)
-        bench.list([entry(n) for n in range(8)])
+            bench.end_push(id, 0, Outcome.CONNECTION_LOST)
+        bench.send_list([entry(n) for n in range(8)])
         bench.complete_all()
         bench.advance(101.0 - bench.now)
         for step in range(20):
             bench.advance(rng.expovariate(4.0))
-            account = bench.come(f"i{step}", tenant="")
+            account = bench.submit(f"i{step}", tenant="")
             tried += [bench.now for backend, _ in account.pushes if backend == bad]
             for number, (backend, _) in enumerate(account.pushes):
-                bench.end(f"i{step}", number, Outcome.UNREACHABLE if backend == bad else Outcome.COMPLETED)
+                bench.end_push(
+                    f"i{step}", number, Outcome.UNREACHABLE if backend == bad else Outcome.COMPLETED
+                )
             bench.complete_all()
     assert len(tried) > 200, "each node tries again"
     most = max(sum(when <= other < when + 0.1 for other in tried) for when in tried)
@@ -427,15 +435,15 @@
 @pytest.mark.parametrize("asked", [True, False])
 def test_a_node_whose_watch_was_silent_pushes_nothing_from_when_it_is_deemed_told(asked: bool) -> None:
     # Pushes went to backends that had begun to drain while the watch was silent (calm+brink+mass).
-    bench = Bench()
+    bench = FakeHost()
     bench.node.must_ask_in = 10.0 if asked else float("inf")
-    bench.list([entry(number) for number in range(4)])
+    bench.send_list([entry(number) for number in range(4)])
     bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [], bench.now + 2.0)
     bench.advance(1.9)
-    assert bench.come("a").pushes
+    assert bench.submit("a").pushes
     bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [], bench.now + 0.1)
     bench.advance(0.11)  # a call that fails, or a new one, does not begin the silence anew
     bench.node.on_timer(bench.now, "watch")
-    assert bench.come("b").final == "nacked" and not bench.accounts["b"].pushes
-    bench.list([entry(number) for number in range(4)])
-    assert bench.come("c").pushes
+    assert bench.submit("b").final == "nacked" and not bench.accounts["b"].pushes
+    bench.send_list([entry(number) for number in range(4)])
+    assert bench.submit("c").pushes
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,7 +13,7 @@
 
 import anyio
 import pytest
-from harness import READY, Client, Got, Peer, config, listed, reply
+from harness import READY_REQUEST, Client, FakeServer, ReceivedMessage, config, list_line, reply
 
 pytestmark = pytest.mark.anyio
 
@@ -27,7 +27,7 @@
                 await anyio.sleep(0.01)
                 continue
             async with client.stream:
-                if (await client.raw(READY)).target == "200":
+                if (await client.raw(READY_REQUEST)).target == "200":
                     return
             await anyio.sleep(0.01)
 
@@ -55,24 +55,24 @@
         return place.getsockname()[1]
 
 
-def silent(_: Got) -> bytes | None:
+def silent(_: ReceivedMessage) -> bytes | None:
     return None
 
 
-def refusing(_: Got) -> bytes:
+def refusing(_: ReceivedMessage) -> bytes:
     return reply(503)
 
 
 @pytest.mark.parametrize("tells", [silent, refusing, None], ids=["silent", "refusing", "down"])
 async def test_a_process_is_ready_and_serves_before_discovery_has_said_a_word(
-    tells: Callable[[Got], bytes | None] | None, tmp_path: Path
+    tells: Callable[[ReceivedMessage], bytes | None] | None, tmp_path: Path
 ) -> None:
     # A queue at discovery, or none to be had, is no part of the way to ready.
-    backend, discovery = Peer(lambda _: reply(200)), Peer(tells or silent)
+    backend, discovery = FakeServer(lambda _: reply(200)), FakeServer(tells or silent)
     async with anyio.create_task_group() as tasks:
         await tasks.start(backend.serve)
         await tasks.start(discovery.serve)
-        file = config([listed(0, backend.port)], discovery.port if tells else free_port())
+        file = config([list_line(0, backend.port)], discovery.port if tells else free_port())
         file["listen"] = f"127.0.0.1:{free_port()}"
         async with process(tmp_path, file) as node:
             port = int(file["listen"].rpartition(":")[2])
@@ -88,11 +88,11 @@
 
 @pytest.mark.parametrize("spoil", ["torn", "locked", "another's"])
 async def test_what_lies_in_the_folder_holds_up_no_start(spoil: str, tmp_path: Path) -> None:
-    backend, discovery = Peer(lambda _: reply(200)), Peer(silent)
+    backend, discovery = FakeServer(lambda _: reply(200)), FakeServer(silent)
     async with anyio.create_task_group() as tasks:
         await tasks.start(backend.serve)
         await tasks.start(discovery.serve)
-        file = config([listed(0, backend.port)], discovery.port) | {"listen": f"127.0.0.1:{free_port()}"}
+        file = config([list_line(0, backend.port)], discovery.port) | {"listen": f"127.0.0.1:{free_port()}"}
         port = int(file["listen"].rpartition(":")[2])
         async with process(tmp_path, file):
             await first_yes(port)
@@ -112,7 +112,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def ask(port: int) -> Got:
+async def ask(port: int) -> ReceivedMessage:
     client = Client(await anyio.connect_tcp("127.0.0.1", port))
     async with client.stream:
         return await client.ask("b", "look")
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -12,7 +12,7 @@
 import h11
 import pytest
 from anyio._backends._asyncio import SocketStream
-from harness import Bank, Got, listed, news, reply, until
+from harness import LoopbackCluster, ReceivedMessage, list_line, list_reply, reply, wait_until
 
 from thornladder import decide
 from thornladder.node import messages, streams
@@ -85,7 +85,7 @@
     return "thornladder" in frame.f_code.co_filename and "tests" not in frame.f_code.co_filename
 
 
-async def crowd(bank: Bank, rounds: int = 10) -> None:
+async def crowd(bank: LoopbackCluster, rounds: int = 10) -> None:
     """Clients that come, ask a few times, and leave: each is answered or sees its connection end."""
 
     async def play(caller: int) -> None:
@@ -116,7 +116,7 @@
             tasks.start_soon(play, caller)
 
 
-async def serves(bank: Bank) -> None:
+async def serves(bank: LoopbackCluster) -> None:
     """Whatever was broken is whole again: within a moment all is as ever."""
 
     async def three() -> bool:
@@ -129,7 +129,7 @@
             await anyio.sleep(0.05)
 
 
-def answer(got: Got) -> bytes | None:
+def answer(got: ReceivedMessage) -> bytes | None:
     if got.target == "/health/live":
         return reply(200)
     if got.headers.get("x-call-id", "").endswith("l"):
@@ -138,7 +138,7 @@
     return reply(503, X_Rejected="1") if odd == 0 else reply(500) if odd == 1 else reply(200)
 
 
-class Rough(Bank):
+class Rough(LoopbackCluster):
     """A bank whose log may hold errors that nobody foresaw."""
 
     async def __aexit__(self, *_: object) -> None:
@@ -163,9 +163,9 @@
     # The node ended: the accepting task had nothing that held an exception.
     version = itertools.count(2)
 
-    def tells(_: Got) -> bytes | None:
-        lines = [listed(number, peer.port) for number, peer in enumerate(bank.backends)]
-        return news(next(version), *lines, whole=True)
+    def tells(_: ReceivedMessage) -> bytes | None:
+        lines = [list_line(number, peer.port) for number, peer in enumerate(bank.backends)]
+        return list_reply(next(version), *lines, whole=True)
 
     plant = Plant(every, node_only if owner in (h11.Connection, SocketStream) else lambda: True)
     monkeypatch.setattr(owner, name, plant.into(getattr(owner, name)))
@@ -176,7 +176,7 @@
         await crowd(bank)
         if not plant.raised:  # what comes only with many idle connections, or with time
             idle = [await bank.client() for _ in range(30)]
-            await until(lambda: plant.raised)
+            await wait_until(lambda: plant.raised)
             for client in idle:
                 await client.stream.aclose()
         plant.armed = False
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,20 +15,20 @@
 import anyio
 import pytest
 from harness import (
-    READY,
+    READY_REQUEST,
     SETTINGS,
-    Bank,
-    Bench,
     Client,
-    Got,
-    Peer,
+    FakeHost,
+    FakeServer,
+    LoopbackCluster,
+    ReceivedMessage,
     call,
     config,
     entry,
-    listed,
-    news,
+    list_line,
+    list_reply,
     reply,
-    until,
+    wait_until,
 )
 from test_process import NODE_COMMAND
 
@@ -46,8 +46,8 @@
 
     def __init__(self, folder: Path, *answers) -> None:
         self.folder = folder
-        self.backends = [Peer(answer) for answer in answers]
-        self.discovery = Peer(lambda got: news(1) if got.target.endswith("=0") else None)
+        self.backends = [FakeServer(answer) for answer in answers]
+        self.discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
         self.stack = AsyncExitStack()
         self.ports: list[int] = []
 
@@ -67,7 +67,7 @@
         """Starts one more process; itself and its second address."""
         with socket.create_server(("127.0.0.1", 0)) as free:
             admin = free.getsockname()[1]
-        lines = [listed(number, peer.port) for number, peer in enumerate(self.backends)]
+        lines = [list_line(number, peer.port) for number, peer in enumerate(self.backends)]
         file = config(lines, self.discovery.port)
         path = self.folder / "config.json"
         path.write_text(json.dumps({**file, "listen": f"127.0.0.1:{self.port}"}))
@@ -106,7 +106,7 @@
         return Client(await anyio.connect_tcp("127.0.0.1", self.port))
 
 
-def done(got: Got) -> bytes:
+def done(got: ReceivedMessage) -> bytes:
     return reply(200, got.headers.get("x-call-id", "").encode())
 
 
@@ -139,7 +139,7 @@
                 old.send_signal(signal.SIGTERM)
                 with anyio.fail_after(2.2):
                     assert await old.wait() == 0
-                await until(lambda: sum(answered.values()) > count + 50)  # noqa: B023
+                await wait_until(lambda: sum(answered.values()) > count + 50)  # noqa: B023
                 old = new
             ended.set()
         assert answered["200"] > 0.9 * sum(answered.values())
@@ -174,20 +174,20 @@
         await platform.ready(first)
         kept = [await platform.client() for _ in range(2)]
         for client in kept:
-            assert (await client.raw(READY)).target == "200"
+            assert (await client.raw(READY_REQUEST)).target == "200"
         new, second = await platform.run()
         await platform.ready(second)
         old.send_signal(signal.SIGTERM)
         await anyio.sleep(0.1)
-        told = await kept[0].raw(READY)
+        told = await kept[0].raw(READY_REQUEST)
         assert (told.target, told.headers["connection"]) == ("200", "close")
         last = await platform.client()
-        assert (await last.raw(READY)).target == "200"
+        assert (await last.raw(READY_REQUEST)).target == "200"
         with anyio.fail_after(2.2):
             assert await old.wait() == 0
         new.send_signal(signal.SIGTERM)  # nobody follows
         await anyio.sleep(0.1)
-        assert (await last.raw(READY)).target == "503"
+        assert (await last.raw(READY_REQUEST)).target == "503"
 
 
 async def test_a_process_that_only_starts_takes_no_descriptors_from_the_one_that_serves(
@@ -237,7 +237,7 @@
         await new.wait()
         for number in range(20):
             client = await platform.client()
-            assert (await client.raw(READY)).target == "200"
+            assert (await client.raw(READY_REQUEST)).target == "200"
             assert (await client.ask(f"a{number}", "pay", body=b"x")).target == "200"
         assert (await call(first, "GET", "/status"))[0] == 200
         old.send_signal(signal.SIGTERM)
@@ -271,7 +271,7 @@
     assert told.room == 4.5 and Lessons(str(tmp_path), "n").load(204.0).room == 0.0  # of another time
     it = Maintenance({"s2": Mark(True, 95.0)})
     it.warm_from(told.starts, 105.0)
-    known = {"generation": 1, "reset": True, "instances": [listed(number, 1) for number in range(4)]}
+    known = {"generation": 1, "reset": True, "instances": [list_line(number, 1) for number in range(4)]}
     laid = it.lay(decode_list(known), 105.0)
     assert laid.kind is ListKind.SNAPSHOT
     assert [each.started_at for each in laid.entries] == [100.0, None, None, None]  # s1 is yet to come
@@ -282,17 +282,21 @@
     # Its first room held it to a push for each backend: most was nacked for ten seconds after an upgrade.
     rooms = {}
     for room in (0.0, 4.5, 99.0):
-        bench = Bench()
+        bench = FakeHost()
         bench.node = decide.Node(
-            bench, seed=1, now=bench.now, room=room, **{**settings.policy_arguments(SETTINGS), "nodes": 2}
+            bench,
+            seed=1,
+            now=bench.now,
+            limit_per_backend=room,
+            **{**settings.policy_arguments(SETTINGS), "nodes": 2},
         )
-        bench.list([entry(number) for number in range(8)])
-        rooms[room] = bench.node.admission.room
-    assert rooms == {0.0: 4 * decide.Admission.FIRST_ROOM, 4.5: 18.0, 99.0: 24.0}
+        bench.send_list([entry(number) for number in range(8)])
+        rooms[room] = bench.node.admission.concurrency_limit
+    assert rooms == {0.0: 4 * decide.AdmissionControl.INITIAL_LIMIT_PER_BACKEND, 4.5: 18.0, 99.0: 24.0}
 
 
 async def test_a_folder_that_cannot_be_written_is_no_end_but_a_no(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         for path in Path(bank.folder.name).iterdir():
             path.unlink()
         Path(bank.folder.name).rmdir()
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -6,7 +6,7 @@
 
 import anyio
 import pytest
-from harness import SETTINGS, Bank, Bench, Got, Peer, entry, reply, until
+from harness import SETTINGS, FakeHost, FakeServer, LoopbackCluster, ReceivedMessage, entry, reply, wait_until
 
 from thornladder.interface import Outcome, State
 from thornladder.node.backends.pool import Pool
@@ -35,18 +35,18 @@
 
     monkeypatch.setattr(Pool, "get", held)
 
-    def breaks(got: Got) -> bytes:
+    def breaks(got: ReceivedMessage) -> bytes:
         if got.headers.get("x-call-id") != "aa":
             return reply(200)
         begun.append(anyio.current_time())
-        return b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + Peer.CUT
+        return b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + FakeServer.CUT
 
-    async with Bank(breaks, breaks, info=info) as bank:
+    async with LoopbackCluster(breaks, breaks, info=info) as bank:
         client = await bank.client()
         await client.send("aa", "book", 2900, b"x")
         await waiting.wait()
         if late:
-            await until(lambda: anyio.current_time() > begun[0] + WINDOW)
+            await wait_until(lambda: anyio.current_time() > begun[0] + WINDOW)
         gate.set()
         answer = await client.answer()
         # Any machine: a repeat was begun within the window, or there was none and the answer came at once.
@@ -56,15 +56,15 @@
 
 
 def test_a_repeat_that_may_not_wait_past_its_window_is_told_so() -> None:
-    bench = Bench(3)
+    bench = FakeHost(3)
     by: list[float] = []
     push = bench.push
     bench.push = lambda id, to, out, begin: (by.append(begin), push(id, to, out, begin))  # type: ignore
-    bench.list([entry(n, State.RUNNING) for n in range(6)])
-    bench.come("a", "mark")
+    bench.send_list([entry(n, State.RUNNING) for n in range(6)])
+    bench.submit("a", "mark")
     bench.advance(0.1)
-    bench.end("a", 0, Outcome.CONNECTION_LOST)
+    bench.end_push("a", 0, Outcome.CONNECTION_LOST)
     assert by[0] == float("inf") and 0.0 < by[1] <= 0.4 - 0.1
-    bench.come("b", "look")
-    bench.end("b", 0, Outcome.CONNECTION_LOST)
+    bench.submit("b", "look")
+    bench.end_push("b", 0, Outcome.CONNECTION_LOST)
     assert by[2:] == [float("inf")] * 2
--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -81,7 +81,7 @@
         return min(1.0, max(self.floor, max(now - backend.ramp_start, 1.0) / self.length))
 
 
-class Roster:
+class BackendRegistry:
     """The backends of the list, and the clock that each one's ramp runs on."""
 
     GRACE = 5.0  # seconds: late arrivals after a restart come with the first fresh list, after a call or two
@@ -89,20 +89,20 @@
     def __init__(self, now: float) -> None:
         self.ramp, self.grace_until, self.baseline = Ramp(1.0, 1.0), now + self.GRACE, False
         self.soft = False  # the list does not prove who serves: only a drain binds
-        self.known: dict[str, Backend] = {}
+        self.backends: dict[str, Backend] = {}
 
     @property
     def usable(self) -> list[Backend]:
-        return [backend for _, backend in sorted(self.known.items()) if backend.usable]
+        return [backend for _, backend in sorted(self.backends.items()) if backend.usable]
 
     def on_list(self, kind: ListKind, entries: list[Entry], now: float) -> None:
         seen = {entry.backend for entry in entries}
         for entry in entries:
             if entry.state is State.RUNNING:
                 self._running(entry, now)
-            elif entry.backend in self.known:
-                self.leave(self.known[entry.backend], now, entry.state is State.DRAINING)
-        for backend in self.known.values() if kind is not ListKind.DELTA else ():
+            elif entry.backend in self.backends:
+                self.leave(self.backends[entry.backend], now, entry.state is State.DRAINING)
+        for backend in self.backends.values() if kind is not ListKind.DELTA else ():
             if backend.id not in seen:
                 self.leave(backend, now)
         self.baseline = True
@@ -116,9 +116,9 @@
     def _running(self, entry: Entry, now: float) -> None:
         started = entry.started_at or 0.0
         recent = entry.started_at is not None and now - started < self.ramp.length
-        backend = self.known.get(entry.backend)
+        backend = self.backends.get(entry.backend)
         if backend is None:
-            backend = self.known[entry.backend] = Backend(entry)
+            backend = self.backends[entry.backend] = Backend(entry)
             if recent and (not self.baseline or now < self.grace_until):
                 backend.ramp_start = started
             elif self.baseline and now >= self.grace_until:
@@ -252,11 +252,11 @@
         return prior + (ratio - prior) * exp((self.learned - now) / self.took.span)
 
 
-class View:
+class BackendStats:
     """What this node has seen of one backend."""
 
     def __init__(self) -> None:
-        self.open: dict[tuple[str, int], Push] = {}
+        self.in_flight: dict[tuple[str, int], Push] = {}
         self.work, self.answered = 0.0, 0.0  # expected cost of what is in flight; its last sign of life
         self.pace = Pace(Health.MEMORY)
         self.busy, self.busy_at = 0.0, -inf  # its cores, by the last answer that told
@@ -271,12 +271,12 @@
         self.failing, self.asked = "", None  # why its last report has it ejected; since when a probe is out
 
     def put(self, live: Live, push: Push) -> None:
-        self.open[live.inv.id, live.pushes.index(push)] = push
+        self.in_flight[live.inv.id, live.pushes.index(push)] = push
         self.work += push.cost
 
     def silent(self, now: float) -> float:
         """For how long pushes have waited without any sign of life."""
-        first = next((push for push in self.open.values() if not push.overtaken), None)
+        first = next((push for push in self.in_flight.values() if not push.overtaken), None)
         return now - max(self.answered, first.sent + first.drag) if first else 0.0
 
 
@@ -305,7 +305,7 @@
 
     def __init__(self, chance: Random, log: Callable[[str], None]) -> None:
         self.chance, self.log = chance, log
-        self.views: defaultdict[str, View] = defaultdict(View)
+        self.stats: defaultdict[str, BackendStats] = defaultdict(BackendStats)
         self.zones = defaultdict(lambda: Pace(2.0 * self.MEMORY))
         self.units = defaultdict(lambda: Mean(30.0))
         self.busy = Mean(0.5 * self.MEMORY)  # cores, of all; how much longer each offering and tenant took:
@@ -336,8 +336,8 @@
         # Guards against a standstill after a jam: one answer of seconds would outweigh dozens of quick ones.
         self.zones[push.backend.zone].learn(min(took, self.SLOWEST * expected), expected, now)
 
-    def view(self, backend: Backend) -> View:
-        return self.views[backend.id]
+    def view(self, backend: Backend) -> BackendStats:
+        return self.stats[backend.id]
 
     def cost(self, offering: Offering, now: float) -> float:
         """Seconds that an invocation keeps a typical backend busy, learned from pushes that found it idle."""
@@ -350,7 +350,7 @@
         for means, name in zip(self.beyond, live.kind, strict=True):
             told = {kind: mean.read(now) for kind, mean in means.items() if mean.count.read(now) > self.ALONE}
             drag = max(drag, told.get(name, 0.0) - min(told.values(), default=0.0))
-        return drag if drag > Admission.LATE * live.offering.target_time else 0.0
+        return drag if drag > AdmissionControl.LATE * live.offering.target_time else 0.0
 
     def idle(self, now: float) -> bool:
         """Whether cores stand idle by the answers' reports: what is late then waits for something else."""
@@ -364,15 +364,15 @@
         if (prior := self.priors.get(backend.zone)) is None:
             prior = max(self.zones[backend.zone].slowness(self.PRIOR * cost, 1.0, now), 1.0)
             self.priors[backend.zone] = prior  # one look a zone for all seats of a pick
-        return self.views[backend.id].pace.slowness(self.PRIOR * cost, prior, now)
+        return self.stats[backend.id].pace.slowness(self.PRIOR * cost, prior, now)
 
     def wait(self, backend: Backend, cost: float, now: float) -> float:
         """Seconds until this backend would answer a push of this cost, as far as this node can tell."""
-        view = self.views[backend.id]
+        view = self.stats[backend.id]
         wait = self.slowness(backend, cost, now) * self.load(view, cost, now)
         if now - view.busy_at < self.TOLD:
             wait *= 1.0 + max(view.busy - self.FULL, 0.0) / (1.0 - self.FULL)
-        if view.open:
+        if view.in_flight:
             wait = max(wait, view.silent(now))
         if view.erred.sum > 0.01 or view.broke.sum > 0.01:
             # An erring backend answers fast and would draw the traffic. A few that all make alike are none.
@@ -380,7 +380,7 @@
             wait += 0.5 * (max(erred - min(self._shares(self, now)[0], self.FEW_ERRORS), 0.0) + broke)
         return wait
 
-    def load(self, view: View, cost: float, now: float) -> float:
+    def load(self, view: BackendStats, cost: float, now: float) -> float:
         """Seconds of work that a push meets with itself, for what is usual; reports fade towards the mean."""
         if not self.usual.count.sum:
             return view.work + cost
@@ -393,7 +393,7 @@
         view, held, rate = self.view(backend), report.in_flight, report.completion_rate
         if held is None:
             return
-        view.others, view.told = max(held - len(view.open), 0.0), now
+        view.others, view.told = max(held - len(view.in_flight), 0.0), now
         errors = report.error_rate or 0.0
         ends = errors + ((held + 1.0) / self.SILENCE if rate is None else rate)
         erring = errors > 1.0 and errors > self.TOO_MANY_ERRORS * ends
@@ -405,13 +405,13 @@
             self.held.add(held, now)
             self.usual.add(held, now)
 
-    def _shares(self, of: View | Health, now: float) -> tuple[float, float]:
+    def _shares(self, of: BackendStats | Health, now: float) -> tuple[float, float]:
         """Of the ends lately, how many were errors, and how many more broke off than do alike everywhere."""
         ends = of.fine.read(now) + of.erred.read(now) + of.broke.read(now) + 1.0
         alike = self.broke.read(now) / (self.fine.read(now) + self.erred.read(now) + self.broke.sum + 1.0)
         return of.erred.sum / ends, max(of.broke.sum / ends - alike, 0.0)
 
-    def _signs_needed(self, view: View, now: float) -> int:
+    def _signs_needed(self, view: BackendStats, now: float) -> int:
         """How many signs of a dead process in a row are no chance, as pushes lately break elsewhere."""
         broke = self.broke.read(now) - view.broke.read(now)
         ends = broke + self.fine.read(now) - view.fine.read(now) + 1.0
@@ -423,14 +423,14 @@
         return self.slowest * exp((self.slowest_at - now) / 10.0)
 
     def pickable(self, backend: Backend, now: float, crowded: bool = False) -> bool:
-        view = self.views[backend.id]
+        view = self.stats[backend.id]
         return not view.cause and now >= view.full_until or crowded and view.cause not in ("", "dead")
 
     def ended(self, key: tuple[str, int], push: Push, offering: Offering, now: float) -> str:
         """Take in an outcome; returns the cause that the backend was out for if this brings it back."""
         view = self.view(push.backend)
-        under_way = view.open.pop(key, None) is not None
-        view.work = view.work - push.cost * under_way if view.open else 0.0
+        under_way = view.in_flight.pop(key, None) is not None
+        view.work = view.work - push.cost * under_way if view.in_flight else 0.0
         took, outcome = now - push.sent, push.outcome
         trial = view.cause != "" and push.sent >= view.until
         if trial:
@@ -452,7 +452,7 @@
             self.fine.add(1.0, now)
             if took > self.longest(now):
                 self.slowest, self.slowest_at = took, now
-            for other in view.open.values():
+            for other in view.in_flight.values():
                 other.overtaken += other.sent < push.sent
             slowness = max(1.0, self.slowness(push.backend, push.cost, now)) if push.idle else 1.0
             self._learn(push, took, push.ahead + push.cost, now)
@@ -490,9 +490,9 @@
         longest = max(self.longest(now), self.first[0] * exp((self.first[1] - now) / 10.0))
         usual = max(self.SILENCE, min(1.5 * longest, 3.0 * self.SILENCE))
         for backend in backends:
-            view = self.views[backend.id]
-            limit = usual if len(view.open) > 1 else 2.0 * usual
-            if view.open and not view.cause and view.silent(now) > limit:
+            view = self.stats[backend.id]
+            limit = usual if len(view.in_flight) > 1 else 2.0 * usual
+            if view.in_flight and not view.cause and view.silent(now) > limit:
                 self._eject(backend, view, "hung", now)
 
     def probed(self, backend: Backend, outcome: Outcome, now: float) -> str:
@@ -515,7 +515,7 @@
         """Whether so many are ejected that there must be another reason; then all but the dead are used."""
         return self.ejected > 0 and 2 * sum(self.view(s.backend).cause != "" for s in seats) > len(seats)
 
-    def _eject(self, backend: Backend, view: View, cause: str, now: float) -> None:
+    def _eject(self, backend: Backend, view: BackendStats, cause: str, now: float) -> None:
         if not view.cause:
             view.since, view.strikes, self.ejected = now, 0, self.ejected + 1
             self.log(f"ejected {backend.id}: {cause}")
@@ -528,7 +528,7 @@
         view.trial, view.strikes = False, view.strikes + 1
         view.until = now + sentence * (0.75 + 0.5 * self.chance.random())
 
-    def _readmit(self, backend: Backend, view: View) -> str:
+    def _readmit(self, backend: Backend, view: BackendStats) -> str:
         cause, view.cause, view.signs = view.cause, "", 0
         self.ejected -= 1
         view.pace.took.sum = view.pace.expected.sum = view.erred.sum = view.broke.sum = 0.0
@@ -536,7 +536,7 @@
         return cause
 
 
-class Admission:
+class AdmissionControl:
     """Which invocations to turn away when answers would come too late, the least utility first."""
 
     LOW, HIGH = 0.25, 0.6  # of the target time: what is expected later is refused to the least, to the most
@@ -548,14 +548,19 @@
     FEW = 16.0  # invocations: a span that sees fewer says nothing of how many pushes are out or late
     GROWTH, SWIFT = 1.0, 0.25  # pushes a backend and second, or that part of the room: within a surge
     MOST_ROOM, MORE = 6.0, 2.0  # pushes a backend, or so many times what it bears: a surge, and no queue
-    FIRST_ROOM = 2.0  # pushes for each backend, one in work and one that waits: more would queue for long
+    INITIAL_LIMIT_PER_BACKEND = (
+        2.0  # pushes for each backend, one in work and one that waits: more would queue for long
+    )
     SAVED, LONGEST = 5.0, 5.0  # invocations saved up, as chance in a trickle; seconds, well under a surge
 
     def __init__(self) -> None:
         self.came_of: defaultdict[str, float] = defaultdict(float)  # invocations, to each offering
         self.shares: dict[str, tuple[float, float]] = {}  # what each tenant has left, and as of when
-        self.best, self.fair = 0.0, 0.0  # the most utility for a second of work lately; this node's backends
-        self.room = inf  # how many pushes this node may have out; may be under one
+        self.best, self.backend_share = (
+            0.0,
+            0.0,
+        )  # the most utility for a second of work lately; this node's backends
+        self.concurrency_limit = inf  # how many pushes this node may have out; may be under one
         self.arrivals, self.span = Fading(self.LONGEST), self.LONGEST
         self.ends, self.lates = Fading(self.span), Fading(self.span)
         self.borne = Mean(30.0)  # pushes out for each backend while few are late
@@ -564,7 +569,7 @@
     def settle(self, given: api.DecisionSettings) -> None:
         self.rates = {tenant.name: tenant.allowance / given.nodes for tenant in given.tenants}
         self.over_share, self.by_work = given.over_share_worth, given.utility_by_work
-        self.uneven, self.first = given.limits.probes_per_invocation > 0.0, self.FIRST_ROOM
+        self.uneven, self.first = given.limits.probes_per_invocation > 0.0, self.INITIAL_LIMIT_PER_BACKEND
         self.late = self.SOON if self.uneven else self.LATE
         self.worst_offering = given.worst_offering if self.uneven else 0.0
         self.utilities = {offering.name: offering.utility for offering in given.offerings}
@@ -572,9 +577,13 @@
 
     def sized(self, fair: float, now: float) -> None:
         """This node's part of the backends, its room with it; a trickle makes it look back further."""
-        if self.uneven or self.room == inf:
-            self.room = self.room * fair / self.fair if self.fair else self.first * fair or inf
-        self.fair = fair
+        if self.uneven or self.concurrency_limit == inf:
+            self.concurrency_limit = (
+                self.concurrency_limit * fair / self.backend_share
+                if self.backend_share
+                else self.first * fair or inf
+            )
+        self.backend_share = fair
         self.span = min(self.FEW / max(self.rate(now), 1e-6), self.LONGEST)
         self.ends.span = self.lates.span = max(self.span, 0.5)
 
@@ -630,7 +639,7 @@
 
     def refuses(self, live: Live, wait: float, out: int, now: float, idle: bool) -> bool:
         rank = self.rank(live)
-        room = self.room * (self.OPEN + (1.0 - self.OPEN) * rank**0.5)
+        room = self.concurrency_limit * (self.OPEN + (1.0 - self.OPEN) * rank**0.5)
         if room < out + 1.0 and self.level(out, now) >= room and not idle:
             return True
         limit = self.LOW + (self.HIGH - self.LOW) * rank
@@ -650,16 +659,20 @@
         if share > self.MANY_LATE:
             if now - self.cut_at > self.PAUSE * self.ends.span:
                 # From what is out: a room that nothing filled says nothing of what backends bear.
-                room = 0.85 * min(self.room, max(out, self.level(out, now)))
-                self.room, self.cut_at = max(room, self.LEAST_ROOM * self.fair), now
-        elif not late and max(out, self.level(out, now)) >= self.OPEN * self.room:
-            if share < self.CROWDED and self.fair:
-                self.borne.add(self.level(out, now) / self.fair, now)
-            most = max(self.MORE * self.borne.read(now), self.MOST_ROOM) * self.fair
-            self.room = min(self.room + max(self.GROWTH * self.fair, self.SWIFT * self.room) * since, most)
-
-
-class Core:
+                room = 0.85 * min(self.concurrency_limit, max(out, self.level(out, now)))
+                self.concurrency_limit, self.cut_at = max(room, self.LEAST_ROOM * self.backend_share), now
+        elif not late and max(out, self.level(out, now)) >= self.OPEN * self.concurrency_limit:
+            if share < self.CROWDED and self.backend_share:
+                self.borne.add(self.level(out, now) / self.backend_share, now)
+            most = max(self.MORE * self.borne.read(now), self.MOST_ROOM) * self.backend_share
+            self.concurrency_limit = min(
+                self.concurrency_limit
+                + max(self.GROWTH * self.backend_share, self.SWIFT * self.concurrency_limit) * since,
+                most,
+            )
+
+
+class OverloadController:
     """What to turn away unread: an integral control against a node short of its core, reading all late."""
 
     AIM = 0.25  # of the shortest target time may pass before what came is read: enough to see, little to lose
@@ -669,13 +682,13 @@
     def __init__(self, aim: float = 1.0) -> None:
         self.aim, self.pressure, self.at = self.AIM * aim, 0.0, 0.0
 
-    def seen(self, late: float, now: float) -> None:
+    def observe(self, late: float, now: float) -> None:
         span, self.at = min(now - self.at, self.SPAN), max(now, self.at)
         error = min(late / self.aim - 1.0, 1.0)
         step = span * error * (self.RISE if error > 0.0 else self.FALL)
         self.pressure = min(max(self.pressure + step, 0.0), 1.0)
 
-    def refuses(self, rank: float, chance: Random) -> bool:
+    def should_shed(self, rank: float, chance: Random) -> bool:
         """The least utility first: at a half of the pressure all of it, at the whole all there is."""
         return self.pressure > 0.0 and chance.random() < 2.0 * self.pressure - rank
 
@@ -731,18 +744,24 @@
     LAST_MOMENT, FRESH = 0.005, 0.05  # seconds: no answer takes less; no new report is worth its price before
     WATCH_AGAIN = 0.25  # seconds on the mean until a watch that failed is begun anew
 
-    def __init__(self, host: Host, *, seed: int, now: float, room: float = 0.0, **settings: object) -> None:
+    def __init__(
+        self, host: Host, *, seed: int, now: float, limit_per_backend: float = 0.0, **settings: object
+    ) -> None:
         self.host, self.chance = host, Random(seed)
-        self.roster, self.part, self.rotation = Roster(now), Part(), Rotation(self.chance)
-        self.health, self.admission = Health(self.chance, host.log), Admission()
-        self.retries, self.core, self.live = Retries(), Core(), {}
+        self.registry, self.part, self.rotation = BackendRegistry(now), Part(), Rotation(self.chance)
+        self.health, self.admission = Health(self.chance, host.log), AdmissionControl()
+        self.retries, self.core, self.active = Retries(), OverloadController(), {}
         self.budget = Budget(Retries.BUDGET)
         self.on_settings(now, **settings)  # room: for each backend, where another process has learned it
-        self.admission.first = min(room, Admission.MOST_ROOM) or self.admission.first
-        self.asks, self.out, self.began = 0.0, 0, now  # probes that may be sent; pushes out and not overdue
+        self.admission.first = min(limit_per_backend, AdmissionControl.MOST_ROOM) or self.admission.first
+        self.asks, self.in_flight, self.began = (
+            0.0,
+            0,
+            now,
+        )  # probes that may be sent; pushes out and not overdue
         host.set_timer(self.INTERVAL * self.chance.random(), "interval")
         self.sweeping = False
-        self.blind_at = self.deaf_at = inf  # then: deemed told; deaf: by a silence, as its host reckons
+        self.list_stale_at = self.deaf_at = inf  # then: deemed told; deaf: by a silence, as its host reckons
         if self.must_ask_in < inf:
             self._watch(now)
 
@@ -752,13 +771,15 @@
         self.zone, self.part.rank, self.nodes = given.zone, given.rank, given.nodes
         self.limits, self.cold, self.must_ask_in = given.limits, given.cold, given.must_ask_in or inf
         self.offerings = {offering.name: offering for offering in given.offerings}
-        self.ramp = self.roster.ramp = Ramp(self.cold.warm_up, self.cold.initial_capacity)
+        self.ramp = self.registry.ramp = Ramp(self.cold.warm_up, self.cold.initial_capacity)
         self.budget = self.budget.under(self.limits.retry_budget or Retries.BUDGET, now)
-        self.roster.soft = self.limits.soft_removal
+        self.registry.soft = self.limits.soft_removal
         self.admission.settle(given)
         self.retries.max_pushes, self.retries.top = self.limits.max_pushes, self.admission.top
-        self.core.aim = Core.AIM * min(offering.target_time for offering in given.offerings)
-        self.health.first = self.health.first if self.health.first[0] else (self.core.aim / Core.AIM, now)
+        self.core.aim = OverloadController.AIM * min(offering.target_time for offering in given.offerings)
+        self.health.first = (
+            self.health.first if self.health.first[0] else (self.core.aim / OverloadController.AIM, now)
+        )
 
     def on_list(self, now: float, kind: ListKind, entries: list[Entry], deaf_at: float = inf) -> None:
         if kind is ListKind.UNAVAILABLE:
@@ -767,11 +788,13 @@
             wait = min(self.WATCH_AGAIN, 0.25 * self.must_ask_in)
             self.host.set_timer(wait * (0.5 + self.chance.random()), "watch")
             # A watch that breaks off leaves MustAskIn; a failed call four times that from when it was made.
-            self.blind_at = min(now + self.must_ask_in * (1.0 if self.blind_at == inf else 3.0), deaf_at)
+            self.list_stale_at = min(
+                now + self.must_ask_in * (1.0 if self.list_stale_at == inf else 3.0), deaf_at
+            )
             return
         if kind is not ListKind.RESTORED:
-            self.blind_at = self.deaf_at = inf
-        self.roster.on_list(kind, entries, now)
+            self.list_stale_at = self.deaf_at = inf
+        self.registry.on_list(kind, entries, now)
         self._rebuild(now)
 
     def on_invocation(self, now: float, inv: Invocation) -> None:
@@ -782,12 +805,12 @@
             self._give_up(Live(inv, offering, 0.0, now), now)
             return
         live = Live(inv, offering, self.health.cost(offering, now), now)
-        self.live[inv.id] = live
+        self.active[inv.id] = live
         self.admission.came(live, now)
         backend = self._pick(live, now)
         if backend is not None:
             wait = self.health.wait(backend, live.cost, now)
-            if self.admission.refuses(live, wait, self.out, now, self.health.idle(now)):
+            if self.admission.refuses(live, wait, self.in_flight, now, self.health.idle(now)):
                 self._give_up(live, now)
                 return
         # After admission: an ejected backend's own long wait is no reason to turn an invocation away.
@@ -796,28 +819,28 @@
 
     def on_whole(self, now: float, id: str, time_left: float) -> None:
         """The last byte of one that flows has come: its time begins, and its push is under way."""
-        if (live := self.live.get(id)) is not None and live.open:
+        if (live := self.active.get(id)) is not None and live.open:
             live.cut_off, push = now + time_left, live.pushes[-1]
             push.sent = now
             self.health.view(push.backend).put(live, push)
 
     def on_late(self, now: float, late: float) -> None:
         """The host came to something so many seconds too late."""
-        self.core.seen(late, now)
+        self.core.observe(late, now)
 
-    def turns_away(self, now: float, offering: str, time_left: float, waited: float) -> float | None:
+    def shed_unread(self, now: float, offering: str, time_left: float, waited: float) -> float | None:
         """When to come back, for what lay unread, never pushed, and is not to be read; None: it is taken."""
-        self.core.seen(waited, now)
+        self.core.observe(waited, now)
         offering = self.offerings[offering]
         rank = self.admission.standing(offering, self.health.cost(offering, now))
-        taken = time_left > self.LAST_MOMENT and not self.core.refuses(rank, self.chance)
+        taken = time_left > self.LAST_MOMENT and not self.core.should_shed(rank, self.chance)
         return None if taken else self._come_back(offering)
 
     def on_push_ended(
         self, now: float, id: str, number: int, outcome: Outcome, took: float, last: bool,
         report: api.LoadReport = api.NO_REPORT,
     ) -> None:  # fmt: skip
-        live = self.live.get(id)
+        live = self.active.get(id)
         if live is None or number >= len(live.pushes) or live.pushes[number].outcome is not None:
             return
         push, view = live.pushes[number], self.health.view(live.pushes[number].backend)
@@ -835,7 +858,7 @@
         if (outcome is Outcome.COMPLETED or timed_out) and not (tells_not or self.health.drag(live, now)):
             in_time = push.cost + self.admission.late * live.offering.target_time
             late = (timed_out or took > in_time) and not self.health.idle(now)
-            self.admission.ended(late, self.out, now)
+            self.admission.ended(late, self.in_flight, now)
         self._count_off(push, now)
         cause = self.health.ended((id, number), push, live.offering, now)
         self._readmitted(push.backend, cause, now)
@@ -848,26 +871,26 @@
 
     def on_answer_started(self, now: float, id: str, number: int) -> None:
         """From here on the push is the client's: it is neither looked at nor moved."""
-        if id in self.live:
-            self.live[id].look_at = inf
+        if id in self.active:
+            self.active[id].look_at = inf
 
     def on_client_gone(self, now: float, id: str) -> None:
-        if (live := self.live.get(id)) is not None:
+        if (live := self.active.get(id)) is not None:
             live.answered = True
             self._cancel_rest(live)
             self._forget(live)
 
     def on_lost(self, now: float, id: str) -> None:
         """Strike off what its host has ended. Guards against pushes out for ever that look like a hang."""
-        live = self.live.pop(id, None)
+        live = self.active.pop(id, None)
         for number, push in enumerate(live.pushes if live else ()):
             view = self.health.view(push.backend)
-            if view.open.pop((id, number), None):
-                view.work = view.work - push.cost if view.open else 0.0
+            if view.in_flight.pop((id, number), None):
+                view.work = view.work - push.cost if view.in_flight else 0.0
             self._count_off(push, now)
 
     def on_probe_ended(self, now: float, id: str, outcome: Outcome, report: api.LoadReport) -> None:
-        backend = self.roster.known.get(id)
+        backend = self.registry.backends.get(id)
         if backend is not None:
             self.health.reported(backend, report, now)
             self._readmitted(backend, self.health.probed(backend, outcome, now), now)
@@ -887,7 +910,11 @@
     def may_push(self, live: Live, backend: Backend, now: float) -> bool:
         """Whether the rules let this invocation go to this backend now."""
         # What has drained since a node went blind is not known to it, and deemed told.
-        if live.answered or not backend.usable or now >= min(live.cut_off - self.LAST_MOMENT, self.blind_at):
+        if (
+            live.answered
+            or not backend.usable
+            or now >= min(live.cut_off - self.LAST_MOMENT, self.list_stale_at)
+        ):
             return False
         most = 1 if live.inv.streaming else self.limits.max_pushes  # what was let go is not there any more
         twice = live.open and not self.limits.hedging
@@ -933,10 +960,10 @@
 
     def _rate(self, now: float) -> float:
         """Invocations a second, also of a node that has only begun to count them."""
-        return self.admission.rate(now) / (1.0 - exp(min(self.began - now, -0.05) / Admission.LONGEST))
+        return self.admission.rate(now) / (1.0 - exp(min(self.began - now, -0.05) / AdmissionControl.LONGEST))
 
     def _watch(self, now: float) -> None:
-        self.blind_at = min(now + self.must_ask_in, self.deaf_at)
+        self.list_stale_at = min(now + self.must_ask_in, self.deaf_at)
         self.host.watch_list()
 
     def _push(self, live: Live, backend: Backend | None, now: float) -> None:
@@ -952,8 +979,8 @@
         self.budget.further.add(1 if live.pushes else 0, now, now)
         live.pushes.append(push)
         live.open += 1
-        self.admission.level(self.out, now)
-        self.out += 1
+        self.admission.level(self.in_flight, now)
+        self.in_flight += 1
         live.moving = False
         # Twice what it should take and a tenth of a second: by then most answers are in.
         live.look_at = now + 2.0 * (self.health.wait(backend, live.cost, now) + push.drag) + 0.1
@@ -1020,23 +1047,23 @@
 
     def _forget(self, live: Live) -> None:
         if live.answered and not live.open:
-            self.live.pop(live.inv.id, None)
+            self.active.pop(live.inv.id, None)
 
     def _count_off(self, push: Push, now: float) -> None:
         if push.counted:
-            self.admission.level(self.out, now)
-            self.out -= 1
+            self.admission.level(self.in_flight, now)
+            self.in_flight -= 1
             push.counted = False
 
     def _sweep_soon(self) -> None:
         """Idle nodes sleep: with hundreds of them the looks at nothing would cost more than the decisions."""
-        if self.live and not self.sweeping:
+        if self.active and not self.sweeping:
             self.sweeping = True
             self.host.set_timer(self.SWEEP, "sweep")
 
     def _sweep(self, now: float) -> None:
         self.health.look([seat.backend for seat in self.rotation.seats], now)
-        for live in list(self.live.values()):
+        for live in list(self.active.values()):
             for push in live.pushes:
                 # Guards against a few backends that keep what they get and so fill the room for all others.
                 gone = self.limits.probes_per_invocation and self.health.view(push.backend).cause == "hung"
@@ -1095,17 +1122,17 @@
         if cause:
             view = self.health.view(backend)
             # Guards against sound backends ramped for broken connections: a new process refused some first.
-            self.roster.back(backend, view.since, cause == "dead" and view.refused, now)
+            self.registry.back(backend, view.since, cause == "dead" and view.refused, now)
             view.refused = False
             self._rebuild(now)
 
     def _rebuild(self, now: float) -> None:
-        everyone, rate = self.roster.usable, self.admission.rate(now)
+        everyone, rate = self.registry.usable, self.admission.rate(now)
         backends = self.part.of(everyone, rate, lambda backend: self.health.pickable(backend, now))
         self.health.remember(backends, rate)
         for backend in everyone:
             if backend.lapsed and self.health.view(backend).cause == "dead":
-                self.roster.leave(backend, now, dead=True)
+                self.registry.leave(backend, now, dead=True)
             if backend.ramp_start is not None and now - backend.ramp_start >= self.ramp.length:
                 backend.ramp_start = None
         self.rotation.rebuild(backends, lambda backend: self.ramp.ratio(backend, now))
@@ -1113,7 +1140,7 @@
 
     def _fair(self, rate: float, now: float) -> float:
         """How many backends are this node's: an even part, by its traffic where reports come. 0: unknown."""
-        even, usual = len(self.roster.usable) / self.nodes, self.health.usual.read(now)
+        even, usual = len(self.registry.usable) / self.nodes, self.health.usual.read(now)
         if not (self.limits.probes_per_invocation and usual and now > self.began):
             return 0.0 if self.limits.probes_per_invocation else even
         return max(self._rate(now) * self.health.took.read(now) / usual, 0.25 * even)
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -92,7 +92,7 @@
         known = self.maintenance.lay(known, now)
         self.probes = decisions["limits"].probes
         pushes.on_list(known)
-        self.node = decide.Node(self, seed=seed, now=now, room=room, **decisions)
+        self.node = decide.Node(self, seed=seed, now=now, limit_per_backend=room, **decisions)
         self.node.on_list(now, ListKind.RESTORED, known.entries)
         self.tasks.keep("a look at the clock", self._look)
         if told:
@@ -139,7 +139,7 @@
     def turns_away(self, offering: str, time_left: float, waited: float) -> float | None:
         """When to come back, if the module turns this away before it is read."""
         try:
-            return self.node.turns_away(self.clock(), offering, time_left - self.WAY_BACK, waited)
+            return self.node.shed_unread(self.clock(), offering, time_left - self.WAY_BACK, waited)
         except Exception:
             self.logger.exception("a decision failed", event_name="turns_away")
             return None
@@ -226,7 +226,7 @@
     @property
     def blind_at(self) -> float:
         """From when on this node is held to news that it does not have; inf while it has all."""
-        return min(self._deaf_at, self.node.blind_at)
+        return min(self._deaf_at, self.node.list_stale_at)
 
     @property
     def list_known(self) -> bool:
@@ -242,14 +242,14 @@
     @property
     def starts(self) -> dict[str, float]:
         """Since when the module ramps those backends that it still does."""
-        known = self.node.roster.known.items()
+        known = self.node.registry.backends.items()
         return {id: backend.ramp_start for id, backend in known if backend.ramp_start is not None}
 
     @property
     def room(self) -> float:
         """How many pushes for each backend that is this node's may be out, as the module has learned."""
         admission = self.node.admission
-        return admission.room / admission.fair if admission.fair > 0.0 else 0.0
+        return admission.concurrency_limit / admission.backend_share if admission.backend_share > 0.0 else 0.0
 
     def mark(self, marks: dict[str, Mark]) -> None:
         """Takes backends out by hand or puts them back, whoever was asked to."""
