--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -92,8 +92,8 @@
         assert (await client.ask("a0", path, body=b"x")).body == b"a0 done"
         await BETWEEN[name](peer)
         line: list[Any] = []
-        await until(lambda: line or _idle(bank, line))
-        await until(lambda: not line[0].stream or streams.has_unread_data(line[0].stream))
+        await wait_until(lambda: line or _idle(bank, line))
+        await wait_until(lambda: not line[0].stream or streams.has_unread_data(line[0].stream))
         answer = await client.ask("a1", path, body=b"x")
         assert (answer.target, answer.body) == ("200", b"a1 done")
         assert peer.opened == 2
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -87,11 +87,11 @@
 @pytest.mark.parametrize("answer", [large, chunked])
 async def test_slow_readers_hold_no_more_than_their_part_of_the_memory(monkeypatch, answer) -> None:
     monkeypatch.setattr(service, "BodyBudget", Watched)
-    async with Bank(*[answer] * 8, memory=4) as bank:
+    async with LoopbackCluster(*[answer] * 8, memory=4) as bank:
         slow = [await narrow(bank) for _ in range(8)]
         for number, client in enumerate(slow):
             await client.send(f"a{number}", "pay", 900, b"x")  # of most utility: there is room for eight
-        await until(lambda: Watched.last.used >= 4 * BODY_PIPE_BYTES)
+        await wait_until(lambda: Watched.last.used >= 4 * BODY_PIPE_BYTES)
         answers = []
 
         async def read(client) -> None:
@@ -104,7 +104,7 @@
         assert [got.target for got in answers] == ["200"] * 8
         assert all(len(got.body) == len(BODY) + 2 for got in answers)
         assert Watched.last.top <= Watched.last.limit + BODY_PIPE_BYTES  # one at a time goes past it
-        await until(lambda: Watched.last.used == 0)
+        await wait_until(lambda: Watched.last.used == 0)
 
 
 async def test_a_client_that_leaves_amid_a_large_answer_ends_it_at_its_backend(monkeypatch) -> None:
@@ -114,9 +114,9 @@
         for number in range(3):
             client = await narrow(bank)
             await client.send(f"a{number}", "look")
-            await until(lambda: Watched.last.used == BODY_PIPE_BYTES)
+            await wait_until(lambda: Watched.last.used == BODY_PIPE_BYTES)
             await client.stream.aclose()
-            await until(lambda: Watched.last.used == 0)
+            await wait_until(lambda: Watched.last.used == 0)
         monkeypatch.setitem(globals(), "BODY", b"")
         assert (await bank.ask("b", "look")).target == "200"
 
@@ -335,7 +335,7 @@
         reading.append(self.transport.is_reading())
 
     monkeypatch.setattr(streams.SingleReadProtocol, "data_received", watched)
-    async with Bank(large) as bank:
+    async with LoopbackCluster(large) as bank:
         client = await bank.client()
         await client.stream.send(head("a", "Content-Length: 400000") + BODY)
         assert (await client.answer_to("a")).target == "200"
