--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -139,7 +139,7 @@
     async with LoopbackCluster(done) as bank:
         raw = client(bank.port)
         raw.sendall(asks("aa", "pay", length=6 * MAX_BUFFERED_BYTES) + b"x" * (MAX_BUFFERED_BYTES + 1))
-        await until(lambda: gate.waiting == 1)
+        await wait_until(lambda: gate.waiting == 1)
         raw.sendall(b"x" * 20_000)
         raw.sendall(b"x" * 20_000)
         # What the client's own kernel still holds keeps its end back as well: nobody can see that one.
--- a/tests/test_end_crossings.py
+++ b/tests/test_end_crossings.py
@@ -71,9 +71,9 @@
     return await client.answer_to("a")
 
 
-async def _large_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> Got:
+async def _large_body(end: Callable[[], Awaitable[None]], client: Client, backend: Gated) -> ReceivedMessage:
     await client.stream.send(head("a", "pay", LARGE) + b"x" * (MAX_BUFFERED_BYTES + 1))
-    await until(lambda: backend.asked)
+    await wait_until(lambda: backend.asked)
     await end()
     backend.gate.set()
     await client.stream.send(b"x" * (LARGE - MAX_BUFFERED_BYTES - 1))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -261,7 +261,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("thornladder.node.clients.connection.MAX_BODY_BYTES", 200_000)
-    async with Bank() as bank:
+    async with LoopbackCluster() as bank:
         client = await bank.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
         await client.stream.send(head("a", "Transfer-Encoding: chunked") + 2 * chunk)
@@ -275,7 +275,7 @@
 
 async def test_a_body_without_end_is_turned_down(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("thornladder.node.clients.connection.MAX_BODY_BYTES", 200_000)
-    async with Bank(lambda _: reply(200)) as bank:
+    async with LoopbackCluster(lambda _: reply(200)) as bank:
         client = await bank.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
         await client.stream.send(head("a", "Transfer-Encoding: chunked") + 5 * chunk)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -31,7 +31,7 @@
 
 
 async def test_an_invocation_goes_through_unchanged() -> None:
-    async with Bank(done) as bank:
+    async with LoopbackCluster(done) as bank:
         answer = await bank.ask(
             "aa", "pay/now?key=0f&x=%20", 900, b"x" * MAX_BUFFERED_BYTES, X_Caller="t", Odd="1"
         )
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -31,13 +31,13 @@
 
 
 @asynccontextmanager
-async def running_node(folder: Path, *backends: Peer, info: dict | None = None):
+async def running_node(folder: Path, *backends: FakeServer, info: dict | None = None):
     """Runs a node with these backends in its own process; yields the process and the node's port."""
-    discovery = Peer(lambda got: news(1) if got.target.endswith("=0") else None)
+    discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
     async with anyio.create_task_group() as tasks:
         for peer in (*backends, discovery):
             await tasks.start(peer.serve)
-        instances = [listed(number, peer.port) for number, peer in enumerate(backends)]
+        instances = [list_line(number, peer.port) for number, peer in enumerate(backends)]
         path = folder / "config.json"
         path.write_text(json.dumps(config(instances, discovery.port, info=info)))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
@@ -62,7 +62,7 @@
 
 
 async def test_graceful_shutdown_answers_every_invocation(tmp_path: Path) -> None:
-    backend = Peer(lambda got: None if got.target == "/look" else reply(200))
+    backend = FakeServer(lambda got: None if got.target == "/look" else reply(200))
     async with running_node(tmp_path, backend) as (process, port):
         idle, busy, old = await connect(port), await connect(port), await connect(port)
         assert (await idle.ask("a0", "pay", body=b"x")).target == "200"
@@ -70,7 +70,7 @@
         await wait_until(lambda: len(backend.got) == 2)
         process.send_signal(signal.SIGTERM)
         signalled_at = anyio.current_time()
-        while (await (await connect(port)).raw(READY)).target == "200":
+        while (await (await connect(port)).raw(READY_REQUEST)).target == "200":
             assert anyio.current_time() - signalled_at < 0.3
         on_new = await (await connect(port)).ask("a2", "pay", body=b"x")
         on_old = await old.ask("a3", "pay", body=b"x")
@@ -106,10 +106,10 @@
         async with anyio.create_task_group() as tasks:
             for client_number in range(16):
                 tasks.start_soon(run_client, port, client_number)
-            await until(lambda: len(answers) > 300)
+            await wait_until(lambda: len(answers) > 300)
             process.send_signal(signal.SIGTERM)
             answers_at_signal = len(answers)
-            await until(lambda: len(answers) > answers_at_signal + 16)
+            await wait_until(lambda: len(answers) > answers_at_signal + 16)
             front_noticed.set()
         assert await process.wait() == 0
         assert sent_ids == answers.keys()
@@ -120,8 +120,8 @@
     path = tmp_path / "config.json"
     backend = FakeServer(lambda got: None if got.target == "/look" else reply(200))
 
-    def ahead(got: Got) -> bytes | None:
-        return news(3) if got.target.endswith("=0") else None
+    def ahead(got: ReceivedMessage) -> bytes | None:
+        return list_reply(3) if got.target.endswith("=0") else None
 
     def behind(got: ReceivedMessage) -> bytes | None:
         if "from" not in got.target:
@@ -130,20 +130,20 @@
 
     async with running_node(tmp_path, backend) as (process, port), anyio.create_task_group() as tasks:
         old = json.loads(path.read_text())
-        discoveries = [Peer(ahead), Peer(behind)]
+        discoveries = [FakeServer(ahead), FakeServer(behind)]
         for discovery in discoveries:
             await tasks.start(discovery.serve)
         busy = await connect(port)
         await busy.send("a0", "look", 900)
-        await until(lambda: backend.got)
+        await wait_until(lambda: backend.got)
         for discovery, first_query in zip(discoveries, ("from=1&", "from=3&"), strict=True):
             # The second file is malformed: the address from the first one stays in force.
             for text in (json.dumps({**old, "discovery": f"127.0.0.1:{discovery.port}"}), "nonsense"):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: discovery.got)  # noqa: B023
+                await wait_until(lambda: discovery.got)  # noqa: B023
             assert first_query in discovery.got[0].target
-            await until(lambda: any("hold_ms=750" in got.target for got in discovery.got))  # noqa: B023
+            await wait_until(lambda: any("hold_ms=750" in got.target for got in discovery.got))  # noqa: B023
         # This discovery service is behind and cannot continue from 3, so the node asks it for a snapshot.
         assert "from" not in discoveries[1].got[1].target
         assert (await busy.answer()).target == "503"  # invocations in flight are not affected
@@ -183,7 +183,7 @@
 
 
 async def test_address_in_use_ends_it_with_one_line(tmp_path: Path) -> None:
-    async with Bank() as bank:
+    async with LoopbackCluster() as bank:
         path = tmp_path / "config.json"
         path.write_text(json.dumps({**config([], 1), "listen": f"127.0.0.1:{bank.port}"}))
         environment = {**os.environ, "TMPDIR": str(path.parent), "EDGE_CONFIG": str(path)}
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -99,10 +99,10 @@
     path = tmp_path / "config.json"
     backend_answers = False
 
-    def answer(got: Got) -> bytes | None:
+    def answer(got: ReceivedMessage) -> bytes | None:
         return reply(200) if backend_answers else None
 
-    async with running_node(tmp_path, Peer(answer)) as (process, port):
+    async with running_node(tmp_path, FakeServer(answer)) as (process, port):
         log_reader = LogReader(process)
         kept, removed = await connect(port), await connect(port)
         await kept.send("a0", "look", 600)
@@ -131,22 +131,22 @@
 
 
 def test_new_idempotency_applies_to_later_invocations_only() -> None:
-    bench = Bench(copies=False)
+    bench = FakeHost(copies=False)
     policy = settings.policy_arguments(SETTINGS)
-    bench.list([entry(number) for number in range(4)])
-    before = bench.come("a", "look")
+    bench.send_list([entry(number) for number in range(4)])
+    before = bench.submit("a", "look")
     stricter = [dataclasses.replace(OFFERINGS[0], idempotency=Idempotency.ONCE_ONLY), *OFFERINGS[2:]]
     limits = Limits(max_pushes=2, hedging=False, cancellation=True, probes=True, max_retry_after=0.5)
     bench.node.on_settings(bench.now, **{**policy, "offerings": stricter, "limits": limits, "zone": "x"})
-    bench.end("a", 0, Outcome.CONNECTION_LOST)
+    bench.end_push("a", 0, Outcome.CONNECTION_LOST)
     assert len(before.pushes) == 2  # repeatable, as on arrival
-    after = bench.come("b", "look")
+    after = bench.submit("b", "look")
     after.offering = stricter[0]
     bench.end_push("b", 0, Outcome.CONNECTION_LOST)
     assert len(after.pushes) == 1 and after.final == "terminated"
-    third = bench.come("c", "book")
-    bench.end("c", 0, Outcome.REJECTED)
-    bench.end("c", 1, Outcome.REJECTED)
+    third = bench.submit("c", "book")
+    bench.end_push("c", 0, Outcome.REJECTED)
+    bench.end_push("c", 1, Outcome.REJECTED)
     assert len(third.pushes) == 2  # the new, lower limit on pushes
     assert "pay" not in bench.node.offerings
 
