--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -109,7 +109,7 @@
 @pytest.mark.anyio
 async def test_a_late_node_turns_away_unread_on_new_and_kept_connections(monkeypatch) -> None:
     told, come_back = [], 0.2
-    monkeypatch.setattr(NodeHost, "turns_away", lambda _, *what: told.append(what) or come_back)
+    monkeypatch.setattr(NodeHost, "shed_retry_after", lambda _, *what: told.append(what) or come_back)
     async with LoopbackCluster(done) as bank:
         kept = await bank.client()
         assert (await kept.ask("a0", "look")).target == "200" and not told
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -93,7 +93,7 @@
     text = body("s0")
     raw = b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
     async with LoopbackCluster(done, done, sockets=80) as bank:
-        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * Admin.MOST)]
+        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * AdminServer.MOST)]
         for each in crowd[::2]:
             await each.send(b"POST /sta")
         async with await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
@@ -111,7 +111,7 @@
 
 
 async def test_a_call_that_does_not_come_whole_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Admin, "WHOLE", 0.1)
+    monkeypatch.setattr(AdminServer, "WHOLE", 0.1)
     async with LoopbackCluster(done) as bank, await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
         await stream.send(
             b"POST /standby HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
