--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -1,7 +1,7 @@
-"""Hosts the one decision module of this node: its clock, its timers, and every event, one at a time.
+"""Runs the decision module of one node: gives it a clock and timers, and delivers events to it one at a time.
 
 No call that the module makes here leads back into it: pushes, cancels and timers run as tasks of their own,
-and answers are handed to the clients' side, which writes them later.
+and responses are handed to the clients' side, which writes them later.
 """
 
 from __future__ import annotations
@@ -16,16 +16,19 @@
 
 from thornladder import decide
 from thornladder.interface import ListKind, LoadReport, Outcome, State
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
-from thornladder.node.maintenance import Maintenance, Mark
+from thornladder.node.maintenance import Maintenance, MaintenanceMark
 from thornladder.node.messages import ClientResponse, DiscoveryResponse, FinalOutcome
 from thornladder.node.tasks import Tasks
 
 
 class Clock:
-    """Unix time as of the start, then by the monotonic clock: the list's start times fit as they are."""
+    """Unix time that never jumps: read once at the start, then advanced by the monotonic clock.
+
+    Start times in the endpoint list are Unix times and can be compared with it directly.
+    """
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
@@ -35,274 +38,304 @@
 
 
 class EventLoopLag:
-    """How late this node has lately been: the worst of a second or so, by its own timers."""
+    """Decaying peak of the event loop's lag over about the last second, measured by timers that fire late."""
 
-    LATE = 0.005  # seconds: under it a wait is no more than an answer's way back
-    FADE = 0.97  # at each timer, of which twenty come a second while anything is in hand
+    THRESHOLD_SECONDS = 0.005  # a shorter wait is no more than a response takes on its way back
+    DECAY = 0.97  # per timer; about twenty fire each second while anything is in flight
 
     def __init__(self) -> None:
-        self.worst = 0.0
+        self.peak = 0.0  # seconds
 
     @property
     def is_late(self) -> bool:
-        """Whether what comes has waited for long enough to ask how long."""
-        return self.worst > self.LATE
+        """Whether received data has waited long enough that it is worth finding out for how long."""
+        return self.peak > self.THRESHOLD_SECONDS
 
-    def seen(self, late: float) -> None:
-        self.worst = max(late, self.FADE * self.worst)
+    def observe(self, delay: float) -> None:
+        """Records by how many seconds a timer fired late."""
+        self.peak = max(delay, self.DECAY * self.peak)
 
 
 class NodeHost:
-    WAY_BACK = 0.01  # seconds before a client's cut-off by which its answer goes out
-    AGAIN = 1.0  # seconds until a timer comes again whose event met an error: one interval of the module
-    MOST_LAG = 0.25  # of the time left: more would cost answers in time for a hiccup that is over
+    """Connects the decision module to the clients' side, the backends, discovery and the timers.
+
+    Implements `interface.Host` for the module and `InvocationHandler` for the clients' side.
+    """
 
-    COMING = 900.0  # seconds: longer than any body takes that keeps its pace; the clients' side ends others
-    # A node that got no core has news unread, which may be older than the grace: nothing is pushed before it
-    # has looked. Every LOOK seconds it notes that it is awake; noted too late, it reads for CATCH_UP first.
-    LOOK, LATE_LOOK = 0.15, 0.1  # seconds; together well within any grace
-    CATCH_UP = 0.1  # seconds: the answer that lies unread, the watch's pace, and one more call
-    KNOWN_BY = 3.0  # seconds after which the list that it was started with has to do
+    RESPONSE_MARGIN_SECONDS = 0.01  # before the client's cut-off, for the response's way back
+    TIMER_RETRY_SECONDS = 1.0  # after an event failed: one interval of the module
+    MAX_LAG_SHARE = (
+        0.25  # of the time left; a larger allowance rejects work that is in time after a brief stall
+    )
+
+    MAX_UPLOAD_SECONDS = 900.0  # longer than any body that keeps its pace; the clients' side ends slower ones
+    # A node that got no CPU has unread discovery data, which may be older than the drain grace: nothing is
+    # pushed before it has been read. A heartbeat shows that the event loop reads; after a late heartbeat the
+    # node first reads for CATCH_UP_SECONDS.
+    HEARTBEAT_SECONDS, HEARTBEAT_LATE_SECONDS = 0.15, 0.1  # together well below any drain grace
+    CATCH_UP_SECONDS = 0.1  # the unread response, the pace of the watch, and one more request
+    DISCOVERY_WAIT_SECONDS = 3.0  # without a response until then, the restored list counts as known
 
     def __init__(self, clock: Clock, tasks: Tasks, log: Any, maintenance: Maintenance | None = None) -> None:
         self.clock, self.tasks, self.logger = clock, tasks, log
         self.maintenance = maintenance or Maintenance()
-        self.began, self.told = clock(), False  # told: discovery has answered since the start
+        self.started_at, self.discovery_answered = clock(), False
         self.lag = EventLoopLag()
-        self.exchanges: dict[str, Exchange] = {}
-        self.pending: Counter[str] = Counter()  # timers by name
-        self.awake_at = self.began  # when it last noted that it reads what comes
-        self.blind_since: float | None = None  # while news that it does not have binds it: nothing is pushed
+        self.exchanges: dict[str, Exchange] = {}  # invocations in flight by id
+        self.pending_timers: Counter[str] = Counter()  # by name
+        self.last_heartbeat = self.started_at
+        self.list_stale_since: float | None = None  # while the list is stale, nothing is pushed
         self.node: decide.Node
-        self.pushes: Pushes
+        self.pushes: PushDispatcher
         self.watch: Watch
 
     def start(
         self,
-        pushes: Pushes,
+        pushes: PushDispatcher,
         watch: Watch,
-        known: DiscoveryResponse,
+        restored_list: DiscoveryResponse,
         seed: int,
-        told: bool,
+        list_is_pushed: bool,
         decisions: dict[str, Any],
-        room: float = 0.0,
+        limit_per_backend: float = 0.0,
     ) -> None:
+        """Creates the decision module with the list of the configuration file.
+
+        `list_is_pushed`: discovery sends changes unasked, so that the watch starts at once.
+        `decisions`: keyword arguments of `decide.Node`. `limit_per_backend`: the concurrency limit that an
+        earlier process of this node learned, 0 if unknown.
+        """
         self.pushes, self.watch = pushes, watch
         now = self.clock()
-        known = self.maintenance.lay(known, now)
+        restored_list = self.maintenance.apply(restored_list, now)
         self.probes = decisions["limits"].probes
-        pushes.on_list(known)
-        self.node = decide.Node(self, seed=seed, now=now, limit_per_backend=room, **decisions)
-        self.node.on_list(now, ListKind.RESTORED, known.entries)
-        self.tasks.keep("a look at the clock", self._look)
-        if told:
+        pushes.on_list(restored_list)
+        self.node = decide.Node(self, seed=seed, now=now, limit_per_backend=limit_per_backend, **decisions)
+        self.node.on_list(now, ListKind.RESTORED, restored_list.entries)
+        self.tasks.supervise("the heartbeat", self._run_heartbeat)
+        if list_is_pushed:
             watch.start()
 
-    # The module's calls.
+    # Calls of the decision module (`interface.Host`).
 
     def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
-        self.pushes.start(self.exchanges[invocation], backend, timeout, send_within)
+        self.pushes.start_push(self.exchanges[invocation], backend, timeout, send_within)
 
     def cancel(self, invocation: str, number: int) -> None:
-        self.exchanges[invocation].scopes[number].cancel()
+        self.exchanges[invocation].push_scopes[number].cancel()
 
     def nack(self, invocation: str, retry_after: float) -> None:
-        self._finish(self.exchanges[invocation], ClientResponse(FinalOutcome.NACKED, retry_after))
+        self._deliver(self.exchanges[invocation], ClientResponse(FinalOutcome.NACKED, retry_after))
 
     def terminate(self, invocation: str) -> None:
-        self._finish(self.exchanges[invocation], ClientResponse(FinalOutcome.TERMINATED))
+        self._deliver(self.exchanges[invocation], ClientResponse(FinalOutcome.TERMINATED))
 
     def probe(self, backend: str) -> None:
-        self.pushes.probe(backend)
+        self.pushes.start_probe(backend)
 
     def set_timer(self, delay: float, name: str) -> None:
-        self.pending[name] += 1
-        self.tasks.start("a timer", self._timer, delay, name)
+        self.pending_timers[name] += 1
+        self.tasks.start("a timer", self._run_timer, delay, name)
 
     def watch_list(self) -> None:
         self.watch.start()
 
-    def log(self, words: str) -> None:
-        self.logger.info(words)
+    def log(self, message: str) -> None:
+        self.logger.info(message)
 
-    # What happens.
+    # Events for the decision module.
 
     def start_invocation(self, exchange: Exchange) -> bool:
-        """Takes an invocation; not one whose id is in hand, since ids tell invocations apart."""
+        """Accepts an invocation; returns False if one with the same id is in flight."""
         if exchange.invocation.id in self.exchanges:
             return False
         self.exchanges[exchange.invocation.id] = exchange
-        left = self._time_left(exchange.given + self.COMING * exchange.coming, exchange.waited)
-        self._tell_of(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
+        left = self._time_left(exchange.time_budget + self.MAX_UPLOAD_SECONDS * exchange.body_incoming, exchange.unread_seconds)
+        self._dispatch_for(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
         return True
 
     def shed_retry_after(self, offering: str, time_left: float, waited: float) -> float | None:
-        """When to come back, if the module turns this away before it is read."""
+        """Seconds after which the client may retry if the module sheds this unread invocation, else None."""
         try:
-            return self.node.shed_unread(self.clock(), offering, time_left - self.WAY_BACK, waited)
+            return self.node.shed_unread(
+                self.clock(), offering, time_left - self.RESPONSE_MARGIN_SECONDS, waited
+            )
         except Exception:
             self.logger.exception("a decision failed", event_name="turns_away")
             return None
 
     def _time_left(self, given: float, waited: float) -> float:
-        """Seconds for the module, of those that a client gives.
+        """Seconds that the module may use of the `given` ones of the client.
 
-        Guards against answers past the cut-off when the processor is short: what came has waited unread, and
-        will wait on its way out for as long as this node is late.
+        Prevents responses past the cut-off when the CPU is short: the invocation has waited unread, and its
+        response will wait for as long as the event loop lags.
         """
-        return max(given - self.WAY_BACK - waited - min(self.lag.worst, self.MOST_LAG * given), 0.0)
+        return max(
+            given - self.RESPONSE_MARGIN_SECONDS - waited - min(self.lag.peak, self.MAX_LAG_SHARE * given),
+            0.0,
+        )
 
     def body_received(self, exchange: Exchange) -> None:
-        """The last byte of a large invocation has come; from here on its client's time counts."""
-        if exchange.over:
+        """The last byte of a streamed body was received; the client's time counts from now on."""
+        if exchange.finished:
             return
-        exchange.coming = False
-        left = self._time_left(exchange.given, 0.0)
-        for scope in exchange.scopes:
+        exchange.body_incoming = False
+        left = self._time_left(exchange.time_budget, 0.0)
+        for scope in exchange.push_scopes:
             scope.deadline = anyio.current_time() + left
-        self._tell_of(exchange, self.node.on_whole, exchange.invocation.id, left)
+        self._dispatch_for(exchange, self.node.on_whole, exchange.invocation.id, left)
 
     def body_stalled(self, exchange: Exchange) -> None:
-        """What comes is not taken: its push ends, as one that never ran."""
+        """The backend does not read the body; its push ends as one that never ran."""
         exchange.cancel_pushes()
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        if exchange.over:
+        """Tells the module of it, unless the invocation already has its final outcome."""
+        if exchange.finished:
             return
-        exchange.gone = True
-        if exchange.coming:
-            exchange.cancel_pushes()  # nothing more comes to pass on, whatever may be cancelled otherwise
-        self._tell_of(exchange, self.node.on_client_gone, exchange.invocation.id)
+        exchange.client_gone = True
+        if exchange.body_incoming:
+            exchange.cancel_pushes()  # the rest of the body will not come: ends the push in any case
+        self._dispatch_for(exchange, self.node.on_client_gone, exchange.invocation.id)
 
     def push_ended(
         self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: ClientResponse | None
     ) -> None:
-        exchange.out -= 1
+        """Delivers the response, if there is one, and tells the module the outcome.
+
+        `number`: of the push within its invocation; `sent`: when it was started, by the host's clock.
+        """
+        exchange.pending_pushes -= 1
         if answer is not None:
-            self._finish(exchange, answer)
-        took = self.clock() - sent
+            self._deliver(exchange, answer)
+        duration = self.clock() - sent
         id = exchange.invocation.id
-        self._tell_of(exchange, self.node.on_push_ended, id, number, outcome, took, exchange.over)
+        self._dispatch_for(exchange, self.node.on_push_ended, id, number, outcome, duration, exchange.finished)
 
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
-        self._tell(self.node.on_probe_ended, backend, outcome, report)
+        self._dispatch(self.node.on_probe_ended, backend, outcome, report)
 
     def on_list_answer(self, answer: DiscoveryResponse | None) -> None:
+        """Handles a response of discovery; None: the request failed."""
         if answer is None:
             self.logger.warning("a call for the list failed")
-            self._tell(self.node.on_list, ListKind.UNAVAILABLE, [], self._deaf_at)
+            self._dispatch(self.node.on_list, ListKind.UNAVAILABLE, [], self._watch_stale_at)
             return
-        self.told = True
-        self._tell_list(self.maintenance.lay(answer, self.clock()))
+        self.discovery_answered = True
+        self._apply_list(self.maintenance.apply(answer, self.clock()))
 
-    async def _look(self) -> None:
+    async def _run_heartbeat(self) -> None:
         while True:
-            due = self.clock() + self.LOOK
-            await anyio.sleep(self.LOOK)
-            if self.clock() - due > self.LATE_LOOK:
-                await anyio.sleep(self.CATCH_UP)
-            self.awake_at = self.clock()
-            self._note_blindness(self.awake_at)
-
-    def _note_blindness(self, now: float) -> None:
-        blind = now >= self.blind_at
-        if blind and self.blind_since is None:
-            self.blind_since = now
+            due = self.clock() + self.HEARTBEAT_SECONDS
+            await anyio.sleep(self.HEARTBEAT_SECONDS)
+            if self.clock() - due > self.HEARTBEAT_LATE_SECONDS:
+                await anyio.sleep(self.CATCH_UP_SECONDS)
+            self.last_heartbeat = self.clock()
+            self._update_staleness(self.last_heartbeat)
+
+    def _update_staleness(self, now: float) -> None:
+        stale = now >= self.blind_at
+        if stale and self.list_stale_since is None:
+            self.list_stale_since = now
             self.logger.warning("blind: nothing is pushed until the list is answered for")
-        elif not blind and self.blind_since is not None:
-            self.logger.warning("not blind any more", after=round(now - self.blind_since, 3))
-            self.blind_since = None
+        elif not stale and self.list_stale_since is not None:
+            self.logger.warning("not blind any more", after=round(now - self.list_stale_since, 3))
+            self.list_stale_since = None
 
     async def awake(self) -> None:
-        """Returns once what came while this node got no core has been read."""
-        while self.clock() - self.awake_at > self.LOOK + self.LATE_LOOK:
-            await anyio.sleep(0.2 * self.CATCH_UP)
+        """Waits until data that arrived while this process got no CPU has been read."""
+        while self.clock() - self.last_heartbeat > self.HEARTBEAT_SECONDS + self.HEARTBEAT_LATE_SECONDS:
+            await anyio.sleep(0.2 * self.CATCH_UP_SECONDS)
 
     @property
-    def _deaf_at(self) -> float:
-        """When what the watch may have missed binds: once it counts as told, and its grace is over."""
-        return self.clock() + self.watch.told_by - anyio.current_time() + self.pushes.spared
+    def _watch_stale_at(self) -> float:
+        """When a change that the watch may have missed binds: it counts as told and its grace is over."""
+        return self.clock() + self.watch.stale_at - anyio.current_time() + self.pushes.send_grace
 
     @property
     def blind_at(self) -> float:
-        """From when on this node is held to news that it does not have; inf while it has all."""
-        return min(self._deaf_at, self.node.list_stale_at)
+        """From when on the list is stale and nothing may be pushed; inf while it is up to date."""
+        return min(self._watch_stale_at, self.node.list_stale_at)
 
     @property
     def list_known(self) -> bool:
-        """Whether the list is fresh, or there is one and discovery has had its time."""
-        late = self.clock() - self.began > self.KNOWN_BY
-        return self.told or (late and bool(self.maintenance.entries))
+        """Whether discovery has answered, or has had its time and a restored list is there."""
+        wait_over = self.clock() - self.started_at > self.DISCOVERY_WAIT_SECONDS
+        return self.discovery_answered or (wait_over and bool(self.maintenance.entries))
 
-    def settle(self, decisions: dict[str, Any], processes: int = 1) -> None:
-        """New settings for the module. Beside another process of this node it has half of the node's."""
+    def update_settings(self, decisions: dict[str, Any], processes: int = 1) -> None:
+        """Gives the module new settings; each of several processes of a node gets its part of the limits."""
         self.probes = decisions["limits"].probes
-        self._tell(partial(self.node.on_settings, **{**decisions, "nodes": decisions["nodes"] * processes}))
+        self._dispatch(
+            partial(self.node.on_settings, **{**decisions, "nodes": decisions["nodes"] * processes})
+        )
 
     @property
-    def starts(self) -> dict[str, float]:
-        """Since when the module ramps those backends that it still does."""
+    def ramp_starts(self) -> dict[str, float]:
+        """Start time of the slow start of each backend that is still in it, by id."""
         known = self.node.registry.backends.items()
         return {id: backend.ramp_start for id, backend in known if backend.ramp_start is not None}
 
     @property
-    def room(self) -> float:
-        """How many pushes for each backend that is this node's may be out, as the module has learned."""
+    def limit_per_backend(self) -> float:
+        """Learned concurrency limit for each backend of this node's share; 0 while it has no backends."""
         admission = self.node.admission
         return admission.concurrency_limit / admission.backend_share if admission.backend_share > 0.0 else 0.0
 
-    def mark(self, marks: dict[str, Mark]) -> None:
-        """Takes backends out by hand or puts them back, whoever was asked to."""
-        news = self.maintenance.set(marks)
-        if news is None:
+    def apply_maintenance(self, marks: dict[str, MaintenanceMark]) -> None:
+        """Takes backends out of service or puts them back, whichever process the operator asked."""
+        changes = self.maintenance.update(marks)
+        if changes is None:
             return
-        self._tell_list(news)
-        for entry in news.entries:
+        self._apply_list(changes)
+        for entry in changes.entries:
             if entry.state is State.RUNNING and self.probes:
-                # What it was ejected for before was another process: its answer brings it back at once.
-                self.pushes.probe(entry.backend)
+                # An earlier ejection concerned the process before its restart; a good probe readmits it.
+                self.pushes.start_probe(entry.backend)
 
-    def _tell_list(self, answer: DiscoveryResponse) -> None:
-        # The module first: what drains is no longer picked, whatever becomes of its connections.
-        self._tell(self.node.on_list, answer.kind, answer.entries)
+    def _apply_list(self, answer: DiscoveryResponse) -> None:
+        # The module first, so that it picks no draining backend even if closing its connections fails.
+        self._dispatch(self.node.on_list, answer.kind, answer.entries)
         self.pushes.on_list(answer)
 
-    async def _timer(self, delay: float, name: str) -> None:
+    async def _run_timer(self, delay: float, name: str) -> None:
         due = self.clock() + delay
-        await anyio.sleep(max(delay, 0.0))  # the library takes a negative one as an error
+        await anyio.sleep(max(delay, 0.0))  # anyio rejects negative delays
         late = self.clock() - due
-        self.lag.seen(late)
+        self.lag.observe(late)
         if self.lag.is_late:
-            self._tell(self.node.on_late, late)
-        self.pending[name] -= 1
-        if not self._tell(self.node.on_timer, name) and not self.pending[name]:
-            self.set_timer(self.AGAIN, name)  # else what it sets anew each time would never come again
-
-    def _tell(self, event: Callable[..., None], *what: Any) -> bool:
-        """An error in the decisions does not end the node."""
+            self._dispatch(self.node.on_late, late)
+        self.pending_timers[name] -= 1
+        if not self._dispatch(self.node.on_timer, name) and not self.pending_timers[name]:
+            # A periodic timer that failed before it set itself again would never come back.
+            self.set_timer(self.TIMER_RETRY_SECONDS, name)
+
+    def _dispatch(self, event: Callable[..., None], *args: Any) -> bool:
+        """Delivers an event; logs an exception, which must not end the node, and returns False."""
         try:
-            event(self.clock(), *what)
+            event(self.clock(), *args)
         except Exception:
             self.logger.exception("a decision failed", event_name=getattr(event, "__name__", "?"))
             return False
         return True
 
-    def _tell_of(self, exchange: Exchange, event: Callable[..., None], *what: Any) -> None:
-        """An error ends the one invocation: its pushes are cancelled, its client is not left waiting.
+    def _dispatch_for(self, exchange: Exchange, event: Callable[..., None], *args: Any) -> None:
+        """Delivers an event of one invocation; an exception cancels its pushes and terminates it.
 
-        With nothing out the module has answered; should it have failed to, this does.
+        Once no push is out the module has given the final outcome; if it failed to, the invocation is
+        terminated here, so that no client is left waiting.
         """
-        if not self._tell(event, *what):
-            self._tell(self.node.on_lost, exchange.invocation.id)
-            self._finish(exchange, ClientResponse(FinalOutcome.TERMINATED))
+        if not self._dispatch(event, *args):
+            self._dispatch(self.node.on_lost, exchange.invocation.id)
+            self._deliver(exchange, ClientResponse(FinalOutcome.TERMINATED))
             exchange.cancel_pushes()
-        if exchange.out == 0:
-            self._finish(exchange, ClientResponse(FinalOutcome.TERMINATED))
+        if exchange.pending_pushes == 0:
+            self._deliver(exchange, ClientResponse(FinalOutcome.TERMINATED))
             self.exchanges.pop(exchange.invocation.id, None)
 
-    def _finish(self, exchange: Exchange, answer: ClientResponse) -> None:
-        """An error in a client's connection is that connection's, and not the push's whose answer it is."""
+    def _deliver(self, exchange: Exchange, answer: ClientResponse) -> None:
+        """Hands the final response to the client; an error there must not fail the push that brought it."""
         try:
             exchange.finish(answer)
         except Exception:
-            self.logger.exception("an answer could not be delivered")
+            self.logger.exception("a response could not be delivered")
