--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -17,7 +17,7 @@
 from thornladder.node import streams
 from thornladder.node.backends.pool import Pool
 from thornladder.node.clients.connection import ClientConnection
-from thornladder.node.http1 import Failure, Line
+from thornladder.node.http1 import Failure, UpstreamConnection
 from thornladder.node.messages import MOST_WHOLE
 
 pytestmark = pytest.mark.anyio
@@ -41,7 +41,7 @@
         self.waiting, self.passed, self.open = 0, 0, anyio.Event()
         get = Pool.get
 
-        async def late(pool: Pool, backend: str, address: tuple[str, int]) -> Line | Failure:
+        async def late(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
             line = await get(pool, backend, address)
             self.waiting += 1
             with anyio.CancelScope(shield=True):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from thornladder.node import streams
 from thornladder.node.backends.pool import Pool
 from thornladder.node.clients.connection import ClientConnection
-from thornladder.node.http1 import Failure, Line
+from thornladder.node.http1 import Failure, UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 RESET = struct.pack("ii", 1, 0)
@@ -183,7 +183,7 @@
 
     get, answer = Pool.get, ClientConnection._deliver
 
-    async def got(pool: Pool, *given: Any) -> Line | Failure:
+    async def got(pool: Pool, *given: Any) -> UpstreamConnection | Failure:
         line = await get(pool, *given)
         noted("backend", line.stream)
         return line
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 from thornladder.node.backends.pushes import outcome_of
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.discovery.watch import Watch
-from thornladder.node.http1 import Cause, Failure, Line, Stage
+from thornladder.node.http1 import Cause, Failure, Stage, UpstreamConnection
 from thornladder.node.messages import MOST_BODY, MOST_WHOLE, Message, Reply
 
 pytestmark = pytest.mark.anyio
@@ -419,10 +419,10 @@
 )  # fmt: skip
 async def test_a_large_push_is_sure_not_to_have_run_only_before_its_last_byte(size, sends, stage) -> None:
     stream = Giving(sends)
-    line = Line(stream)
+    line = UpstreamConnection(stream)
     request = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", str(size))])
     message = Message(b"POST", b"/", [], b"x" * size)
-    assert await line.ask(request, message) == Failure(stage, Cause.BROKEN)
+    assert await line.round_trip(request, message) == Failure(stage, Cause.BROKEN)
     assert stream.sent.endswith(b"x" * size) == (stage is Stage.SENT and (size < 4096 or sends == 2))
 
 
@@ -432,8 +432,8 @@
 
     unreachable, broken = Outcome.UNREACHABLE, Outcome.BROKEN_OFF
     assert ends(Cause.BROKEN) == [unreachable, unreachable, broken, broken]
-    assert ends(Cause.TIME_OUT) == [Outcome.NOT_SENT] * 2 + [Outcome.TIMED_OUT] * 2
-    assert ends(Cause.SPOILT) == [Outcome.ERRED] * 4
+    assert ends(Cause.TIMEOUT) == [Outcome.NOT_SENT] * 2 + [Outcome.TIMED_OUT] * 2
+    assert ends(Cause.MALFORMED) == [Outcome.ERRED] * 4
     assert ends(Cause.CANCELLED) == [Outcome.NOT_SENT] * 2 + [Outcome.CANCELLED] * 2
     refusal = [(b"x-rejected", b"1")]
     assert outcome_of(Reply(503, refusal, b"")) is outcome_of(Reply(504, refusal, b"")) is Outcome.FULL
@@ -443,11 +443,11 @@
 async def test_a_kept_connection_that_breaks_under_the_write_says_nothing_of_its_process() -> None:
     # Two of them passed for a dead process, which was ejected and then ramped.
     stream = Giving(1)
-    line = Line(stream)
+    line = UpstreamConnection(stream)
     request = h11.Request(method="GET", target="/", headers=[("Host", "a")])
-    assert (await line.ask(request)).cause is Cause.BROKEN  # sent whole, and no answer
+    assert (await line.round_trip(request)).cause is Cause.BROKEN  # sent whole, and no answer
     line.http = h11.Connection(h11.CLIENT)
-    result = await line.ask(request)
+    result = await line.round_trip(request)
     assert result == Failure(Stage.WRITING, Cause.STALE) and outcome_of(result) is Outcome.NOT_SENT
-    fresh = await Line(Giving(0)).ask(request)
+    fresh = await UpstreamConnection(Giving(0)).round_trip(request)
     assert fresh == Failure(Stage.WRITING, Cause.BROKEN) and outcome_of(fresh) is Outcome.UNREACHABLE
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -23,7 +23,7 @@
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.host import Lag, NodeHost
-from thornladder.node.http1 import Line
+from thornladder.node.http1 import UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, ConnectionError,
@@ -37,7 +37,7 @@
         (decide.Node, ("on_timer", "_sweep"), 2),
         (ClientConnection, ("look", "close_idle", "_answer", "_advance", "_whole", "_write"), 5),
         (Front, ("_accept", "_make_room", "sweep"), 3),
-        (Line, ("ask", "close"), 5),
+        (UpstreamConnection, ("round_trip", "close"), 5),
         (Pool, ("get", "sweep", "_close_left"), 5),
         (Pushes, ("on_list", "forget", "_ask"), 5),
         (Watch, ("_call", "_astray"), 2),
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -10,7 +10,7 @@
 
 from thornladder.interface import Outcome, State
 from thornladder.node.backends.pool import Pool
-from thornladder.node.http1 import Failure, Line
+from thornladder.node.http1 import Failure, UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 WINDOW = 0.2  # seconds
@@ -26,7 +26,7 @@
     begun: list[float] = []
     get, waiting, gate = Pool.get, anyio.Event(), anyio.Event()
 
-    async def held(pool: Pool, backend: str, address: tuple[str, int]) -> Line | Failure:
+    async def held(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
         line = await get(pool, backend, address)
         if begun:
             waiting.set()
--- a/thornladder/node/backends/pool.py
+++ b/thornladder/node/backends/pool.py
@@ -8,7 +8,7 @@
 import anyio
 
 from thornladder.node import http1
-from thornladder.node.http1 import Cause, Connect, Failure, Line, Stage
+from thornladder.node.http1 import Cause, Connect, Failure, Stage, UpstreamConnection
 from thornladder.settings import Address
 
 
@@ -25,15 +25,17 @@
     ) -> None:  # fmt: skip
         self.most, self.clock, self.connect = most, clock, connect
         self.retune(idle_close, connect_time_out)
-        self.idle: defaultdict[str, list[Line]] = defaultdict(list)  # the last one used goes first
+        self.idle: defaultdict[str, list[UpstreamConnection]] = defaultdict(
+            list
+        )  # the last one used goes first
         self.held = 0  # connections, and attempts at one
-        self.left: list[Line] = []  # to be closed
+        self.left: list[UpstreamConnection] = []  # to be closed
 
     def retune(self, idle_close: float, connect_time_out: float) -> None:
         self.connect_time_out = connect_time_out
         self.keep = max(idle_close - self.MARGIN, 0.5 * idle_close)
 
-    async def get(self, backend: str, address: Address) -> Line | Failure:
+    async def get(self, backend: str, address: Address) -> UpstreamConnection | Failure:
         """A connection on which nothing is out: an idle one that still stands, or a new one."""
         # Looked up anew after each wait: a sweep or a drain may have taken the others elsewhere meanwhile.
         while lines := self.idle.get(backend):
@@ -45,17 +47,17 @@
             self._spare_one()
             await self._close_left()
             if self.held >= self.most:
-                return Failure(Stage.CONNECTING, Cause.TOO_LATE)
+                return Failure(Stage.CONNECTING, Cause.ABANDONED)
         self.held += 1
-        line: Line | Failure | None = None
+        line: UpstreamConnection | Failure | None = None
         try:
             line = await self.connect(address, self.connect_time_out)
         finally:
-            if not isinstance(line, Line):
+            if not isinstance(line, UpstreamConnection):
                 self.held -= 1
         return line
 
-    async def _rested(self, lines: list[Line]) -> Line:
+    async def _rested(self, lines: list[UpstreamConnection]) -> UpstreamConnection:
         """Takes the one used last of those that have rested, or waits for the one that has longest."""
         now = self.clock()
         rested = (n for n in range(len(lines) - 1, -1, -1) if now - lines[n].idle_since >= self.REST)
@@ -68,7 +70,7 @@
             raise
         return line
 
-    async def put(self, backend: str, line: Line) -> None:
+    async def put(self, backend: str, line: UpstreamConnection) -> None:
         """Takes a connection back: kept if it can be used again, closed if not."""
         if line.reusable:
             line.idle_since = self.clock()
@@ -91,7 +93,7 @@
                     self.left.append(line)
         await self._close_left()
 
-    def _good(self, line: Line) -> bool:
+    def _good(self, line: UpstreamConnection) -> bool:
         return self.clock() - line.idle_since < self.keep and not line.stale()
 
     async def _close_left(self) -> None:
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -12,7 +12,7 @@
 from thornladder.node import messages
 from thornladder.node.backends.pool import Pool
 from thornladder.node.exchange import Exchange
-from thornladder.node.http1 import Cause, Failure, Line, Stage
+from thornladder.node.http1 import Cause, Failure, Stage, UpstreamConnection
 from thornladder.node.messages import Answer, Ending, ListAnswer, Message, Reply
 from thornladder.node.streams import Held
 from thornladder.node.tasks import Tasks
@@ -41,16 +41,16 @@
     if isinstance(result, Reply):
         return messages.outcome_of(result)
     begun = result.stage in (Stage.SENT, Stage.ANSWERING)
-    if result.cause is Cause.TIME_OUT:
+    if result.cause is Cause.TIMEOUT:
         return Outcome.TIMED_OUT if begun else Outcome.NOT_SENT
     if result.cause is Cause.CANCELLED:
         return Outcome.CANCELLED if begun else Outcome.NOT_SENT
-    if result.cause is Cause.TOO_LATE:
+    if result.cause is Cause.ABANDONED:
         return Outcome.NOT_SENT
     if result.cause is Cause.STALE:
         # Guards against sound backends taken for dead: what broke is a connection that stood idle.
         return Outcome.NOT_SENT
-    if result.cause is Cause.SPOILT:
+    if result.cause is Cause.MALFORMED:
         # Guards against sound backends taken for dead: one that answers nonsense lives.
         return Outcome.ERRED
     return Outcome.BROKEN_OFF if begun else Outcome.UNREACHABLE
@@ -180,8 +180,8 @@
         """
         address = self.addresses.get(backend)
         if address is None:
-            return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft else Cause.TOO_LATE)
-        line: Line | Failure | None = None
+            return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft else Cause.ABANDONED)
+        line: UpstreamConnection | Failure | None = None
         result: Reply | Failure | None = None
         try:
             with scope:
@@ -194,19 +194,19 @@
                     # the first byte, and only what waits hears of a cancel.
                     result = Failure(Stage.CONNECTING, Cause.CANCELLED)
                 elif self._too_late(backend, begin_by) or (exchange is not None and self._unwanted(exchange)):
-                    result = Failure(Stage.CONNECTING, Cause.TOO_LATE)
+                    result = Failure(Stage.CONNECTING, Cause.ABANDONED)
                 else:
                     request = messages.encode_push(message, time_left, address[0])
                     most = messages.MOST_BODY if begin is not None else messages.MOST_WHOLE
-                    result = await line.ask(request, message, most, begin, self.held)
+                    result = await line.round_trip(request, message, most, begin, self.held)
         except Exception:
             # Nothing is foreseen here; it ends one push, which may have run, and not the node.
             self.log.exception("a push failed")
             result = Failure(Stage.SENT, Cause.BROKEN)
         if result is None:
-            cause = Cause.CANCELLED if anyio.current_time() < scope.deadline else Cause.TIME_OUT
-            result = Failure(line.stage if isinstance(line, Line) else Stage.CONNECTING, cause)
-        if isinstance(line, Line):
+            cause = Cause.CANCELLED if anyio.current_time() < scope.deadline else Cause.TIMEOUT
+            result = Failure(line.stage if isinstance(line, UpstreamConnection) else Stage.CONNECTING, cause)
+        if isinstance(line, UpstreamConnection):
             if backend in self.leaving and self._binds(backend):
                 line.reusable = False
             try:
--- a/thornladder/node/discovery/watch.py
+++ b/thornladder/node/discovery/watch.py
@@ -11,7 +11,7 @@
 from thornladder.fields import Malformed
 from thornladder.interface import ListKind
 from thornladder.node import http1, messages
-from thornladder.node.http1 import Cause, Connect, Failure, Line
+from thornladder.node.http1 import Cause, Connect, Failure, UpstreamConnection
 from thornladder.node.messages import ListAnswer, Reply
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
@@ -56,7 +56,7 @@
         # What it had when this process began counts until an answer, whatever is refused before.
         self.off_since = anyio.current_time() if pushed else math.inf
         self.answered = False  # whether a call has been, since this process began
-        self.line: Line | None = None
+        self.line: UpstreamConnection | None = None
         self.at = address  # where that connection leads
         self.scope = anyio.CancelScope()  # of the call that is out
 
@@ -144,10 +144,10 @@
             self.at = self.address
             if self.line is None:
                 line = await self.connect(self.at, self.CONNECT)
-                self.line = line if isinstance(line, Line) else None
+                self.line = line if isinstance(line, UpstreamConnection) else None
             if self.line is not None:
                 request = messages.encode_watch(f"{self.at[0]}:{self.at[1]}", self.version, wait)
-                reply = await self.line.ask(request, most=self.MOST_LIST)
+                reply = await self.line.round_trip(request, most=self.MOST_LIST)
             if isinstance(reply, Reply) and reply.status == 200:
                 try:
                     answer = messages.decode_list(reply.body)
@@ -188,5 +188,5 @@
 def _odd(reply: Reply | Failure | None) -> bool:
     """Whether a call failed by what came: no news, and no sign that there is none."""
     if isinstance(reply, Failure):
-        return reply.cause is Cause.SPOILT
+        return reply.cause is Cause.MALFORMED
     return reply is not None and reply.status == 200
--- a/thornladder/node/http1.py
+++ b/thornladder/node/http1.py
@@ -33,10 +33,10 @@
     NO_CONNECTION = "no connection"
     BROKEN = "broken"
     STALE = "stale"  # the other side had ended a connection that was used before; nothing was written whole
-    SPOILT = "spoilt"  # something came that cannot be read as its answer
-    TIME_OUT = "time-out"
+    MALFORMED = "spoilt"  # something came that cannot be read as its answer
+    TIMEOUT = "time-out"
     CANCELLED = "cancelled"
-    TOO_LATE = "too late"
+    ABANDONED = "too late"
 
 
 class Failure(NamedTuple):
@@ -86,12 +86,12 @@
     def patience(self) -> float | None:
         """Seconds to wait for more: of what flows not for ever, of what may be large not for long."""
         if self.flow is not None:
-            return Line.GIVING
+            return UpstreamConnection.GIVING
         if self.begin is None or not self.good or self.length is not None or not self.parts:
             return None
-        return max(self.began + Line.HOLD - anyio.current_time(), 0.0)
+        return max(self.began + UpstreamConnection.HOLD - anyio.current_time(), 0.0)
 
-    async def take(self, data: bytes, line: Line) -> bool:
+    async def take(self, data: bytes, line: UpstreamConnection) -> bool:
         if self.flow is not None:
             return await self.flow.give(data)
         if self.good or self.size <= MOST_WHOLE:  # of what is no answer to pass on the beginning will do
@@ -100,7 +100,7 @@
             await self.flows(line)
         return True
 
-    async def flows(self, line: Line) -> None:
+    async def flows(self, line: UpstreamConnection) -> None:
         """From here on it is its client's."""
         if self.held is not None:
             await self.held.take(COST, line)
@@ -116,14 +116,14 @@
         self.whole = True
         return Reply(self.head.status_code, list(self.head.headers), b"".join(self.parts), self.flow)
 
-    def over(self, line: Line) -> None:
+    def over(self, line: UpstreamConnection) -> None:
         if self.flow is not None:
             self.flow.end(self.whole)
         if self.counted and self.held is not None:
             self.held.give_back(COST, line)
 
 
-class Line:
+class UpstreamConnection:
     """One connection, one asking at a time. `stage` tells how far the present one is."""
 
     AT_ONCE = 4096  # bytes that a kernel takes in one go on a connection with nothing under way
@@ -147,7 +147,7 @@
         """
         return readable(self.stream)
 
-    async def ask(
+    async def round_trip(
         self, request: h11.Request, message: Message | None = None, most: int = MOST_WHOLE,
         begin: Callable[[Reply], None] | None = None, held: Held | None = None,
     ) -> Reply | Failure:  # fmt: skip
@@ -179,7 +179,7 @@
         except BROKEN:
             return self._broken()
         except h11.LocalProtocolError:
-            return Failure(self.stage, Cause.TOO_LATE)  # not to be put into words: nothing was written
+            return Failure(self.stage, Cause.ABANDONED)  # not to be put into words: nothing was written
         finally:
             self.answer.over(self)
 
@@ -231,7 +231,7 @@
 
     def _spoilt(self) -> Failure:
         ended = self.http.trailing_data[1]
-        return Failure(self.stage, Cause.BROKEN if ended else Cause.SPOILT)
+        return Failure(self.stage, Cause.BROKEN if ended else Cause.MALFORMED)
 
     async def _read(self) -> Reply | Failure:
         answer, ahead = self.answer, 0
@@ -277,12 +277,14 @@
         await streams.close(self.stream)
 
 
-async def connect(address: Address, time_out: float) -> Line | Failure:
+async def connect(address: Address, time_out: float) -> UpstreamConnection | Failure:
     try:
         with anyio.fail_after(time_out):
-            return Line(streams.one_by_one(await anyio.connect_tcp(*address)))
+            return UpstreamConnection(streams.one_by_one(await anyio.connect_tcp(*address)))
     except OSError:  # a time-out is one too
         return Failure(Stage.CONNECTING, Cause.NO_CONNECTION)
 
 
-Connect = Callable[[Address, float], Awaitable[Line | Failure]]  # to an address, in so many seconds
+Connect = Callable[
+    [Address, float], Awaitable[UpstreamConnection | Failure]
+]  # to an address, in so many seconds
--- a/thornladder/rig/moments.py
+++ b/thornladder/rig/moments.py
@@ -63,7 +63,7 @@
 
 
 class Wire:
-    """The near side of a connection in memory, in the form that `http1.Line` takes."""
+    """The near side of a connection in memory, in the form that `http1.UpstreamConnection` takes."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -26,7 +26,7 @@
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.host import NodeHost
-from thornladder.node.http1 import Cause, Failure, Line, Stage
+from thornladder.node.http1 import Cause, Failure, Stage, UpstreamConnection
 from thornladder.node.messages import Answer, Ending, Message
 from thornladder.node.streams import Held
 from thornladder.node.tasks import Tasks
@@ -198,7 +198,7 @@
     def down(self) -> bool:
         return any(start <= self.now < end for start, end in self.schedule.away)
 
-    async def connect(self, address: tuple[str, int], _: float) -> Line | Failure:
+    async def connect(self, address: tuple[str, int], _: float) -> UpstreamConnection | Failure:
         await anyio.sleep(0.001)
         if self.down() or address[1] != self.place:
             self.reference.refused.append(self.now)
@@ -210,7 +210,7 @@
                 mute = True
         connection = Connection(self, mute)
         self.open.add(connection)
-        return Line(connection.wire)  # type: ignore[arg-type]
+        return UpstreamConnection(connection.wire)  # type: ignore[arg-type]
 
     async def call(self, connection: Connection, known: int | None, hold: float) -> None:
         came = ready = self.now
@@ -388,12 +388,12 @@
             self.group.cancel_scope.cancel()
         return self
 
-    async def _connect(self, address: tuple[str, int], time_out: float) -> Line | Failure:
+    async def _connect(self, address: tuple[str, int], time_out: float) -> UpstreamConnection | Failure:
         late = self.chance.random() if self.chance.random() < self.schedule.late else 0.001
         await anyio.sleep(min(late, time_out))
         if late > time_out:
             return Failure(Stage.CONNECTING, Cause.NO_CONNECTION)
-        return Line(Backend(self, f"s{address[1] - 1}").wire)  # type: ignore[arg-type]
+        return UpstreamConnection(Backend(self, f"s{address[1] - 1}").wire)  # type: ignore[arg-type]
 
     async def _clients(self, host: NodeHost) -> None:
         number = 0
