--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -126,7 +126,7 @@
     ) -> None:
         sent = self.clock()
         # Nothing unforeseen keeps an end from being told: the invocation would be left without an answer.
-        outcome, answer, scope, begun = Outcome.BROKEN_OFF, None, exchange.scopes[number], False
+        outcome, answer, scope, begun = Outcome.BROKEN_OFF, None, exchange.push_scopes[number], False
 
         def begin(reply: Reply) -> None:
             """A large answer is its client's from its first bytes on: there the push has ended."""
@@ -139,7 +139,7 @@
                 reply.flow.drop()  # nobody waits for it
 
         try:
-            left = exchange.given if exchange.coming else time_out
+            left = exchange.time_budget if exchange.body_incoming else time_out
             result = await self._ask(backend, exchange.message, left, scope, begin, exchange, begin_by)
             ended = outcome_of(result)
             answer = messages.completed(result) if ended is Outcome.COMPLETED else None
@@ -233,9 +233,9 @@
         back-pressure holds up, or have come while this attempt waited for its connection or this node for
         its core; and where nothing may be cancelled, a first or further attempt still on its way out.
         """
-        if not exchange.over and exchange.left:
+        if not exchange.finished and exchange.client_closed:
             self.told.client_disconnected(exchange)
-        return exchange.over
+        return exchange.finished
 
     def _binds(self, backend: str) -> bool:
         """Whether nothing new may go to one that has left."""
--- a/thornladder/node/exchange.py
+++ b/thornladder/node/exchange.py
@@ -14,8 +14,8 @@
     """What came in, the pushes made for it, and its one final answer."""
 
     __slots__ = (
-        "invocation", "message", "answer", "gone", "scopes", "out", "waited", "given", "coming", "_deliver",
-        "_left",
+        "invocation", "message", "answer", "client_gone", "push_scopes", "pending_pushes", "unread_seconds",
+        "time_budget", "body_incoming", "_deliver", "_client_closed",
     )  # fmt: skip
 
     def __init__(
@@ -23,36 +23,36 @@
         invocation: Invocation,
         message: Message,
         deliver: Callable[[Answer], None],
-        waited: float = 0.0,
-        left: Callable[[], bool] = lambda: False,
+        unread_seconds: float = 0.0,
+        client_closed: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`left` looks whether the client has closed its connection, read or not."""
+        """`client_closed` looks whether the client has closed its connection, read or not."""
         self.invocation, self.message = invocation, message
         self.answer: Answer | None = None
-        self.gone = False  # the client left before its answer
-        self.scopes: list[anyio.CancelScope] = []  # of the pushes, by number
-        self.waited = waited  # seconds that it lay unread
-        self.given = invocation.time_left  # seconds, from its last byte on
-        self.coming = message.flow is not None  # its body is still on its way
-        self.out = 0  # pushes that have not ended
-        self._deliver, self._left = deliver, left
+        self.client_gone = False  # the client left before its answer
+        self.push_scopes: list[anyio.CancelScope] = []  # of the pushes, by number
+        self.unread_seconds = unread_seconds  # seconds that it lay unread
+        self.time_budget = invocation.time_left  # seconds, from its last byte on
+        self.body_incoming = message.flow is not None  # its body is still on its way
+        self.pending_pushes = 0  # pushes that have not ended
+        self._deliver, self._client_closed = deliver, client_closed
 
     @property
-    def left(self) -> bool:
+    def client_closed(self) -> bool:
         """Whether its client has gone as of now, also where nobody has read of it yet."""
-        return self.gone or self._left()
+        return self.client_gone or self._client_closed()
 
     @property
-    def over(self) -> bool:
-        return self.gone or self.answer is not None
+    def finished(self) -> bool:
+        return self.client_gone or self.answer is not None
 
     def finish(self, answer: Answer) -> None:
         """The first final answer goes to the client; nothing does after it."""
-        if not self.over:
+        if not self.finished:
             self.answer = answer
             self._deliver(answer)
 
-    def also(self, look: Callable[[Answer], None]) -> None:
+    def observe_answer(self, look: Callable[[Answer], None]) -> None:
         """`look` sees the final answer before it is delivered; it must not fail."""
         deliver = self._deliver
 
@@ -63,11 +63,11 @@
         self._deliver = both
 
     def cancel_pushes(self) -> None:
-        for scope in self.scopes:
+        for scope in self.push_scopes:
             scope.cancel()
 
     def open_push(self) -> tuple[int, anyio.CancelScope]:
         scope = anyio.CancelScope()
-        self.scopes.append(scope)
-        self.out += 1
-        return len(self.scopes) - 1, scope
+        self.push_scopes.append(scope)
+        self.pending_pushes += 1
+        return len(self.push_scopes) - 1, scope
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -104,7 +104,7 @@
         self.pushes.start(self.exchanges[invocation], backend, time_out, begin_in)
 
     def cancel(self, invocation: str, number: int) -> None:
-        self.exchanges[invocation].scopes[number].cancel()
+        self.exchanges[invocation].push_scopes[number].cancel()
 
     def nack(self, invocation: str, come_back: float) -> None:
         self._finish(self.exchanges[invocation], Answer(Ending.NACKED, come_back))
@@ -132,7 +132,9 @@
         if exchange.invocation.id in self.exchanges:
             return False
         self.exchanges[exchange.invocation.id] = exchange
-        left = self._time_left(exchange.given + self.COMING * exchange.coming, exchange.waited)
+        left = self._time_left(
+            exchange.time_budget + self.COMING * exchange.body_incoming, exchange.unread_seconds
+        )
         self._tell_of(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
         return True
 
@@ -154,11 +156,11 @@
 
     def body_received(self, exchange: Exchange) -> None:
         """The last byte of a large invocation has come; from here on its client's time counts."""
-        if exchange.over:
+        if exchange.finished:
             return
-        exchange.coming = False
-        left = self._time_left(exchange.given, 0.0)
-        for scope in exchange.scopes:
+        exchange.body_incoming = False
+        left = self._time_left(exchange.time_budget, 0.0)
+        for scope in exchange.push_scopes:
             scope.deadline = anyio.current_time() + left
         self._tell_of(exchange, self.node.on_whole, exchange.invocation.id, left)
 
@@ -167,22 +169,22 @@
         exchange.cancel_pushes()
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        if exchange.over:
+        if exchange.finished:
             return
-        exchange.gone = True
-        if exchange.coming:
+        exchange.client_gone = True
+        if exchange.body_incoming:
             exchange.cancel_pushes()  # nothing more comes to pass on, whatever may be cancelled otherwise
         self._tell_of(exchange, self.node.on_client_gone, exchange.invocation.id)
 
     def push_ended(
         self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: Answer | None
     ) -> None:
-        exchange.out -= 1
+        exchange.pending_pushes -= 1
         if answer is not None:
             self._finish(exchange, answer)
         took = self.clock() - sent
         id = exchange.invocation.id
-        self._tell_of(exchange, self.node.on_push_ended, id, number, outcome, took, exchange.over)
+        self._tell_of(exchange, self.node.on_push_ended, id, number, outcome, took, exchange.finished)
 
     def probe_ended(self, backend: str, outcome: Outcome, report: Report) -> None:
         self._tell(self.node.on_probe_ended, backend, outcome, report)
@@ -296,7 +298,7 @@
             self._tell(self.node.on_lost, exchange.invocation.id)
             self._finish(exchange, Answer(Ending.TERMINATED))
             exchange.cancel_pushes()
-        if exchange.out == 0:
+        if exchange.pending_pushes == 0:
             self._finish(exchange, Answer(Ending.TERMINATED))
             self.exchanges.pop(exchange.invocation.id, None)
 
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -155,24 +155,24 @@
     def start_invocation(self, exchange: Exchange) -> bool:
         counters, clock = self.counters, self.counters.clock
         offering, tenant = exchange.invocation.offering, exchange.invocation.tenant
-        began = clock() - exchange.waited
+        began = clock() - exchange.unread_seconds
 
         def look(answer: Answer) -> None:
             took = clock() - began
             completed = answer.ending is Ending.COMPLETED
             kind = LATE if completed else NACKED if answer.ending is Ending.NACKED else TERMINATED
             bad = not completed or took > counters.targets.get(offering, math.inf)
-            further = len(exchange.scopes) - 1
+            further = len(exchange.push_scopes) - 1
             _add(counters.rows[offering], kind, bad, further)
             if tenant:
                 _add(counters.tenant(tenant), kind, bad, further)
             if completed:
                 counters.took(offering, took)
 
-        exchange.also(look)
+        exchange.observe_answer(look)
         return self.handler.start_invocation(exchange)
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        if not exchange.over:
+        if not exchange.finished:
             self.counters.rows[exchange.invocation.offering][GONE] += 1
         self.handler.client_disconnected(exchange)
