--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -65,7 +65,7 @@
         self.around, self.log = around, around.log
         self.count = Count(around.nodes, self.config.hold, self.config.lower_after)
         self.scope = anyio.CancelScope()
-        around.tasks.keep("membership", self._run)
+        around.tasks.supervise("membership", self._run)
 
     async def leave(self, succeeded: bool) -> None:
         """An upgrade goes on as the same member; else the others are told."""
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -94,7 +94,7 @@
         pushes.on_list(known)
         self.node = decide.Node(self, seed=seed, now=now, room=room, **decisions)
         self.node.on_list(now, ListKind.RESTORED, known.entries)
-        self.tasks.keep("a look at the clock", self._look)
+        self.tasks.supervise("a look at the clock", self._look)
         if told:
             watch.start()
 
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -75,8 +75,8 @@
         front = Front(desk, clients, tasks, config.inherited is not None, asking)
         further = {path: call for each in companions for path, call in each.calls().items()}
         operations = Operations(host, front, handover.marks.add, log, further)
-        tasks.keep("a look at idle connections", _sweep, front, pushes)
-        tasks.keep("the handover", handover.run, host, front, pool, held)
+        tasks.supervise("a look at idle connections", _sweep, front, pushes)
+        tasks.supervise("the handover", handover.run, host, front, pool, held)
         around = Surroundings(
             config.name, config.seed, config.folder, config.decisions["nodes"], config.admin, tasks, log,
             partial(handover.count, host), lambda: reload.config.raw["settings"],
@@ -88,7 +88,7 @@
         tasks.start("opening the door", _open, front, host, handover, tasks, listener)
         if second:
             admin = Admin(operations, tasks, log, {path: call.method for path, call in further.items()})
-            tasks.keep("taking operators' calls", admin.run, second)
+            tasks.supervise("taking operators' calls", admin.run, second)
         log.info(
             "serving", name=config.name, listen=list(listener.getsockname()), backends=len(known.entries),
             cores=config.cores, sockets=config.sockets, admin=list(second.getsockname()) if second else None,
@@ -111,7 +111,7 @@
         return
     handover.phase = Phase.SERVING
     handover.look(host)
-    tasks.keep("accepting", front.run, listener)
+    tasks.supervise("accepting", front.run, listener)
 
 
 class Handover:
@@ -292,4 +292,4 @@
                 await each.leave(front.desk.succeeded)
         log.info("left")
     finally:
-        tasks.end()
+        tasks.cancel_all()
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -198,7 +198,7 @@
             async with anyio.create_task_group() as group:
                 tasks = Tasks(group, self.log)
                 further = {path: each.method for path, each in self.calls().items()}
-                tasks.keep("orders", Admin(self, tasks, self.log, further, MOST_DOCUMENT).run, door)
+                tasks.supervise("orders", Admin(self, tasks, self.log, further, MOST_DOCUMENT).run, door)
                 with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
                     tasks.start("keeping", self._keep_running, tasks)
                     async for _ in signals:
@@ -206,7 +206,7 @@
                 self.ending = True
                 with anyio.CancelScope(shield=True):
                     await self._end(self.process)
-                tasks.end()
+                tasks.cancel_all()
         finally:
             door.close()
             if self.process is not None and not self.process.ended:
@@ -217,8 +217,8 @@
             async with anyio.create_task_group() as group:
                 for peer in self.config.peers:
                     group.start_soon(self._ask, peer)
-        tasks.keep("asking others", self._ask_others)
-        tasks.keep("counters", self._count)
+        tasks.supervise("asking others", self._ask_others)
+        tasks.supervise("counters", self._count)
         while not self.ending:
             try:
                 await self._settle()
