--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -39,7 +39,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting, self.passed, self.open = 0, 0, anyio.Event()
-        get = Pool.get
+        get = Pool.acquire
 
         async def late(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
             line = await get(pool, backend, address)
@@ -49,7 +49,7 @@
             self.passed += 1
             return line
 
-        monkeypatch.setattr(Pool, "get", late)
+        monkeypatch.setattr(Pool, "acquire", late)
 
 
 def client(port: int) -> socket.socket:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -85,7 +85,7 @@
     name: str, path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # It came before the connection was taken up again.
-    monkeypatch.setattr(Pool, "REST", 0.0)
+    monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.0)
     peer = Script()
     async with Scripted(peer) as bank:
         client = await bank.client()
@@ -125,7 +125,7 @@
 ) -> None:
     # It came some milliseconds after the first, when the connection had been taken up again: another client's
     # answer went out. The rest is made long here, so that on any machine the second answer comes within it.
-    monkeypatch.setattr(Pool, "REST", 0.5)
+    monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.5)
     peer = Script()
     async with Scripted(peer) as bank:
         first, second = await bank.client(), await bank.client()
@@ -141,14 +141,14 @@
 async def test_a_client_that_leaves_while_a_connection_rests_takes_it_from_nobody(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Pool, "REST", 0.3)
+    monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.3)
     async with Bank(done) as bank:
         client = await bank.client()
         assert (await client.ask("a0", "look")).target == "200"
         await client.send("a1", "look")
         await until(lambda: not any(POOLS[0].idle.values()))
         await client.stream.aclose()
-        await until(lambda: POOLS[0].held == 0)  # closed, and its place is free
+        await until(lambda: POOLS[0].open_connections == 0)  # closed, and its place is free
         assert (await bank.ask("a2", "look")).body == b"a2 done"
         assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["a0", "a2"]
 
@@ -157,7 +157,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The sweep makes the list of idle ones anew: who waited went on with the old one.
-    monkeypatch.setattr(Pool, "REST", 0.4)
+    monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.4)
     async with Bank(done) as bank:
         clients = [await bank.client() for _ in range(3)]
         async with anyio.create_task_group() as tasks:
@@ -167,10 +167,10 @@
             for number, client in enumerate(clients):
                 tasks.start_soon(client.send, f"b{number}", "pay", 900, b"x")
             await until(lambda: not any(POOLS[0].idle.values()))
-            await POOLS[0].sweep()
+            await POOLS[0].close_expired()
         answers = [await client.answer() for client in clients]
         assert [answer.body for answer in answers] == [f"b{number} done".encode() for number in range(3)]
-        assert POOLS[0].held == sum(len(lines) for lines in POOLS[0].idle.values()) <= 6
+        assert POOLS[0].open_connections == sum(len(lines) for lines in POOLS[0].idle.values()) <= 6
 
 
 async def test_small_writes_wait_for_nothing_on_either_side(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -181,7 +181,7 @@
         raw = streams.raw(stream)
         seen[side].add(raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
-    get, answer = Pool.get, ClientConnection._deliver
+    get, answer = Pool.acquire, ClientConnection._deliver
 
     async def got(pool: Pool, *given: Any) -> UpstreamConnection | Failure:
         line = await get(pool, *given)
@@ -192,7 +192,7 @@
         noted("client", connection.stream)
         answer(connection, *given)
 
-    monkeypatch.setattr(Pool, "get", got)
+    monkeypatch.setattr(Pool, "acquire", got)
     monkeypatch.setattr(ClientConnection, "_deliver", delivered)
     async with Bank(done) as bank:
         client = await bank.client()
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -38,7 +38,7 @@
         (ClientConnection, ("look", "close_idle", "_answer", "_advance", "_whole", "_write"), 5),
         (Front, ("_accept", "_make_room", "sweep"), 3),
         (UpstreamConnection, ("round_trip", "close"), 5),
-        (Pool, ("get", "sweep", "_close_left"), 5),
+        (Pool, ("acquire", "close_expired", "_close_discarded"), 5),
         (Pushes, ("on_list", "forget", "_ask"), 5),
         (Watch, ("_call", "_astray"), 2),
         (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -24,7 +24,7 @@
     info = copy.deepcopy(SETTINGS)
     info["Classes"][2] |= {"Window": round(WINDOW * 1e6), "HardLimit": 3000000, "Aim": 900000, "Group": "all"}
     begun: list[float] = []
-    get, waiting, gate = Pool.get, anyio.Event(), anyio.Event()
+    get, waiting, gate = Pool.acquire, anyio.Event(), anyio.Event()
 
     async def held(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
         line = await get(pool, backend, address)
@@ -33,7 +33,7 @@
             await gate.wait()
         return line
 
-    monkeypatch.setattr(Pool, "get", held)
+    monkeypatch.setattr(Pool, "acquire", held)
 
     def breaks(got: Got) -> bytes:
         if got.headers.get("x-call-id") != "aa":
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -97,7 +97,7 @@
             left |= self.addresses.keys() - running
         for backend, address in answer.addresses.items():
             if self.addresses.get(backend, address) != address:
-                self.pool.drop(backend)
+                self.pool.discard_idle(backend)
             self.addresses[backend] = address
         for backend in running:
             self.leaving.pop(backend, None)
@@ -105,7 +105,7 @@
         self.drained |= {entry.backend for entry in answer.entries if entry.state is State.DRAINING}
         for backend in left:
             self.leaving.setdefault(backend, now)
-            self.pool.drop(backend)
+            self.pool.discard_idle(backend)
 
     def forget(self) -> None:
         """What left long ago cannot be pushed to any more."""
@@ -185,7 +185,7 @@
         result: Reply | Failure | None = None
         try:
             with scope:
-                line = await self.pool.get(backend, address)
+                line = await self.pool.acquire(backend, address)
                 await self.told.awake()
                 if isinstance(line, Failure):
                     result = line
@@ -210,7 +210,7 @@
             if backend in self.leaving and self._binds(backend):
                 line.reusable = False
             try:
-                await self.pool.put(backend, line)
+                await self.pool.release(backend, line)
             except Exception:
                 self.log.exception("a connection could not be put back")  # its answer stands all the same
         return result
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -145,10 +145,10 @@
 
     async def run(self, host: NodeHost, front: Front, pool: Pool, held: Held) -> None:
         # As it was at the start: after an error this begins anew.
-        self.whole = self.whole or (front.most, pool.most, held.most)
+        self.whole = self.whole or (front.most, pool.max_connections, held.most)
         clients, backends, memory = self.whole
         while True:
-            self.used = front.held + pool.held
+            self.used = front.held + pool.open_connections
             self.look(host)
             # Descriptors and memory are one node's, whoever serves. Guards against connections closed, and
             # others left unread, when one that serves is cut to a half and the other holds next to nothing.
@@ -156,7 +156,9 @@
             others = sum(seen.used + SPARE for seen in self.beside)
             spare = max(clients + backends - self.used - others, 0) // parts
             front.most = min(clients, max(front.held + round(CLIENTS * spare), 4))
-            pool.most = min(backends, max(pool.held + round((1.0 - CLIENTS) * spare), 4))
+            pool.max_connections = min(
+                backends, max(pool.open_connections + round((1.0 - CLIENTS) * spare), 4)
+            )
             held.most = memory // parts
             await anyio.sleep(self.LOOK)
 
@@ -210,7 +212,7 @@
         await anyio.sleep(SWEEP)
         front.sweep()
         pushes.forget()
-        await pushes.pool.sweep()
+        await pushes.pool.close_expired()
 
 
 class Parts(NamedTuple):
@@ -253,7 +255,7 @@
         handover.retune(config.decisions, host)
         desk.retune(host.node.offerings)
         pushes.grace, pushes.soft = config.transport.drain_grace, config.transport.soft_removal
-        pushes.pool.retune(config.transport.backend_idle_timeout, config.transport.connect_timeout)
+        pushes.pool.set_timeouts(config.transport.backend_idle_timeout, config.transport.connect_timeout)
         self.log.info("settings taken", offerings=sorted(host.node.offerings))
 
 
