--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -17,7 +17,7 @@
 from thornladder import decide
 from thornladder.node import messages, streams
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.front import Front
 from thornladder.node.discovery.watch import Watch
@@ -39,7 +39,7 @@
         (Front, ("_accept", "_make_room", "sweep"), 3),
         (UpstreamConnection, ("round_trip", "close"), 5),
         (Pool, ("acquire", "close_expired", "_close_discarded"), 5),
-        (Pushes, ("on_list", "forget", "_ask"), 5),
+        (PushDispatcher, ("on_list", "forget_departed", "_send"), 5),
         (Watch, ("_call", "_astray"), 2),
         (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
         (Exchange, ("finish",), 5),
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -23,7 +23,7 @@
 from thornladder.decide import Node
 from thornladder.interface import ListKind
 from thornladder.measures.points import Points
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.messages import Ending, ListAnswer
 from thornladder.rig.told import Change, Schedule, play
@@ -167,7 +167,7 @@
 
 
 def _on_deciding_only() -> Any:
-    return mock.patch.object(Pushes, "_too_late", lambda self, backend, begin_by: False)
+    return mock.patch.object(PushDispatcher, "_is_expired", lambda self, backend, begin_by: False)
 
 
 def _odd_is_alive() -> Any:
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -19,7 +19,7 @@
 from thornladder.settings import Address
 
 
-class Told(Protocol):
+class PushListener(Protocol):
     """Who hears of the ends."""
 
     def push_ended(
@@ -56,7 +56,7 @@
     return Outcome.BROKEN_OFF if begun else Outcome.UNREACHABLE
 
 
-class Pushes:
+class PushDispatcher:
     PROBE_TIME_OUT = 0.25  # seconds: longer than a busy backend takes for a probe, shorter than a sentence
     DRAIN_MARGIN = 0.05  # seconds kept of the drain's grace for the way to the backend
     FORGET = 60.0  # seconds: far longer than any push is out
@@ -69,14 +69,14 @@
         soft_removal: bool,
         held: Held,
         tasks: Tasks,
-        told: Told,
+        told: PushListener,
         clock: Callable[[], float],
         log: Any,
         reports: bool = False,
     ) -> None:
         """`soft_removal`: only a listed drain binds. `reports`: whether a probe also asks for the load."""
-        self.pool, self.grace, self.held, self.tasks = pool, drain_grace, held, tasks
-        self.soft = soft_removal
+        self.pool, self.drain_grace, self.held, self.tasks = pool, drain_grace, held, tasks
+        self.soft_removal = soft_removal
         self.told, self.clock, self.log = told, clock, log
         self.asking = messages.LOAD_PROBE if reports else messages.PROBE
         self.addresses: dict[str, Address] = {}
@@ -84,9 +84,9 @@
         self.drained: set[str] = set()  # those of them that were listed as draining
 
     @property
-    def spared(self) -> float:
+    def send_grace(self) -> float:
         """Seconds from when a change is told until it binds, less the way to the backend."""
-        return max(self.grace - self.DRAIN_MARGIN, 0.0)
+        return max(self.drain_grace - self.DRAIN_MARGIN, 0.0)
 
     def on_list(self, answer: ListAnswer) -> None:
         """Where the backends are, and to which of them nothing new goes."""
@@ -107,7 +107,7 @@
             self.leaving.setdefault(backend, now)
             self.pool.discard_idle(backend)
 
-    def forget(self) -> None:
+    def forget_departed(self) -> None:
         """What left long ago cannot be pushed to any more."""
         for backend, since in list(self.leaving.items()):
             if self.clock() - since > (self.FORGET if self._binds(backend) else self.FORGET_SOFT):
@@ -115,7 +115,9 @@
                 self.drained.discard(backend)
                 self.addresses.pop(backend, None)
 
-    def start(self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf) -> None:
+    def start_push(
+        self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf
+    ) -> None:
         number, scope = exchange.open_push()
         scope.deadline = anyio.current_time() + time_out
         by = self.clock() + begin_in
@@ -140,7 +142,7 @@
 
         try:
             left = exchange.time_budget if exchange.body_incoming else time_out
-            result = await self._ask(backend, exchange.message, left, scope, begin, exchange, begin_by)
+            result = await self._send(backend, exchange.message, left, scope, begin, exchange, begin_by)
             ended = outcome_of(result)
             answer = messages.completed(result) if ended is Outcome.COMPLETED else None
             outcome = ended
@@ -154,14 +156,14 @@
             self.log.exception("a push's end could not be told")
             exchange.finish(Answer(Ending.TERMINATED))  # nobody else will
 
-    def probe(self, backend: str) -> None:
+    def start_probe(self, backend: str) -> None:
         self.tasks.start("a probe", self._probe, backend)
 
     async def _probe(self, backend: str) -> None:
         scope = anyio.CancelScope(deadline=anyio.current_time() + self.PROBE_TIME_OUT)
         outcome, report = Outcome.BROKEN_OFF, NO_REPORT
         try:
-            result = await self._ask(backend, self.asking, self.PROBE_TIME_OUT, scope)
+            result = await self._send(backend, self.asking, self.PROBE_TIME_OUT, scope)
             outcome = outcome_of(result)
             if self.asking is messages.LOAD_PROBE and outcome is Outcome.COMPLETED:
                 report = messages.decode_report(result.body)
@@ -169,7 +171,7 @@
             self.log.exception("a probe failed")
         self.told.probe_ended(backend, outcome, report)
 
-    async def _ask(
+    async def _send(
         self, backend: str, message: Message, time_left: float, scope: anyio.CancelScope,
         begin: Callable[[Reply], None] | None = None, exchange: Exchange | None = None,
         begin_by: float = math.inf,
@@ -180,7 +182,7 @@
         """
         address = self.addresses.get(backend)
         if address is None:
-            return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft else Cause.ABANDONED)
+            return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft_removal else Cause.ABANDONED)
         line: UpstreamConnection | Failure | None = None
         result: Reply | Failure | None = None
         try:
@@ -193,7 +195,9 @@
                     # Guards against one that was cancelled before it had its turn: nothing below waits before
                     # the first byte, and only what waits hears of a cancel.
                     result = Failure(Stage.CONNECTING, Cause.CANCELLED)
-                elif self._too_late(backend, begin_by) or (exchange is not None and self._unwanted(exchange)):
+                elif self._is_expired(backend, begin_by) or (
+                    exchange is not None and self._unwanted(exchange)
+                ):
                     result = Failure(Stage.CONNECTING, Cause.ABANDONED)
                 else:
                     request = messages.encode_push(message, time_left, address[0])
@@ -215,7 +219,7 @@
                 self.log.exception("a connection could not be put back")  # its answer stands all the same
         return result
 
-    def _too_late(self, backend: str, begin_by: float) -> bool:
+    def _is_expired(self, backend: str, begin_by: float) -> bool:
         """Whether what was decided while the backend ran is not to be begun any more.
 
         Guards against pushes that waited for a connection: a drain or a silent watch may have overtaken them,
@@ -239,4 +243,4 @@
 
     def _binds(self, backend: str) -> bool:
         """Whether nothing new may go to one that has left."""
-        return not self.soft or backend in self.drained
+        return not self.soft_removal or backend in self.drained
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -16,7 +16,7 @@
 
 from thornladder import decide
 from thornladder.interface import ListKind, Outcome, Report, State
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.maintenance import Maintenance, Mark
@@ -74,12 +74,12 @@
         self.awake_at = self.began  # when it last noted that it reads what comes
         self.blind_since: float | None = None  # while news that it does not have binds it: nothing is pushed
         self.node: decide.Node
-        self.pushes: Pushes
+        self.pushes: PushDispatcher
         self.watch: Watch
 
     def start(
         self,
-        pushes: Pushes,
+        pushes: PushDispatcher,
         watch: Watch,
         known: ListAnswer,
         seed: int,
@@ -101,7 +101,7 @@
     # The module's calls.
 
     def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
-        self.pushes.start(self.exchanges[invocation], backend, time_out, begin_in)
+        self.pushes.start_push(self.exchanges[invocation], backend, time_out, begin_in)
 
     def cancel(self, invocation: str, number: int) -> None:
         self.exchanges[invocation].push_scopes[number].cancel()
@@ -113,7 +113,7 @@
         self._finish(self.exchanges[invocation], Answer(Ending.TERMINATED))
 
     def probe(self, backend: str) -> None:
-        self.pushes.probe(backend)
+        self.pushes.start_probe(backend)
 
     def set_timer(self, delay: float, name: str) -> None:
         self.pending[name] += 1
@@ -223,7 +223,7 @@
     @property
     def _deaf_at(self) -> float:
         """When what the watch may have missed binds: once it counts as told, and its grace is over."""
-        return self.clock() + self.watch.told_by - anyio.current_time() + self.pushes.spared
+        return self.clock() + self.watch.told_by - anyio.current_time() + self.pushes.send_grace
 
     @property
     def blind_at(self) -> float:
@@ -262,7 +262,7 @@
         for entry in news.entries:
             if entry.state is State.RUNNING and self.probes:
                 # What it was ejected for before was another process: its answer brings it back at once.
-                self.pushes.probe(entry.backend)
+                self.pushes.start_probe(entry.backend)
 
     def _tell_list(self, answer: ListAnswer) -> None:
         # The module first: what drains is no longer picked, whatever becomes of its connections.
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -16,7 +16,7 @@
 from thornladder.fields import MalformedError
 from thornladder.node.admin.server import Admin
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import Desk
 from thornladder.node.clients.front import Front
 from thornladder.node.companion import Companion, Surroundings
@@ -60,7 +60,7 @@
         pool = Pool(sockets - clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
         held = Held(max(config.memory // LARGE_BODIES, 2**20))
         reports = config.decisions["limits"].asks > 0.0
-        pushes = Pushes(
+        pushes = PushDispatcher(
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
         )
         watch = Watch(config.discovery, known.version, tasks, host.list_told, log, pushed=config.list_is_told)
@@ -207,11 +207,11 @@
                 self.log.warning("what was learned could not be written down", error=repr(error))
 
 
-async def _sweep(front: Front, pushes: Pushes) -> None:
+async def _sweep(front: Front, pushes: PushDispatcher) -> None:
     while True:
         await anyio.sleep(SWEEP)
         front.sweep()
-        pushes.forget()
+        pushes.forget_departed()
         await pushes.pool.close_expired()
 
 
@@ -220,7 +220,7 @@
 
     host: NodeHost
     desk: Desk
-    pushes: Pushes
+    pushes: PushDispatcher
     watch: Watch
     handover: Handover
 
@@ -254,7 +254,7 @@
         host, desk, pushes, _, handover = self.parts
         handover.retune(config.decisions, host)
         desk.retune(host.node.offerings)
-        pushes.grace, pushes.soft = config.transport.drain_grace, config.transport.soft_removal
+        pushes.drain_grace, pushes.soft_removal = config.transport.drain_grace, config.transport.soft_removal
         pushes.pool.set_timeouts(config.transport.backend_idle_timeout, config.transport.connect_timeout)
         self.log.info("settings taken", offerings=sorted(host.node.offerings))
 
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -22,7 +22,7 @@
 from thornladder.interface import Kind, Limits, Offering
 from thornladder.node import messages
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.host import NodeHost
@@ -376,7 +376,9 @@
             clock = anyio.current_time
             host = NodeHost(clock, tasks, self.log)  # type: ignore[arg-type]
             pool = Pool(4096, 60.0, 1.0, clock, connect=self._connect)
-            pushes = Pushes(pool, self.schedule.grace, False, Held(2**20), tasks, host, clock, self.log)
+            pushes = PushDispatcher(
+                pool, self.schedule.grace, False, Held(2**20), tasks, host, clock, self.log
+            )
             lines = [listed(f"s{number}", "in_service") for number in range(self.schedule.backends)]
             known = messages.decode_list({"generation": 1, "reset": True, "instances": lines})
             watch = Watch(("list", 0), 1, tasks, host.list_told, self.log, connect=self.service.connect,
