--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -220,7 +220,7 @@
 
 async def test_a_watch_outlives_calls_that_take_longer_than_its_pace(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ended the node: the rest of the pace came out negative after a call that had waited.
-    monkeypatch.setattr(Watch, "PACE", 0.0)
+    monkeypatch.setattr(Watch, "MIN_POLL_INTERVAL_SECONDS", 0.0)
     async with Bank(done, tells=lambda _: news(1)) as bank:
         await until(lambda: len(bank.discovery.got) >= 10)
         assert (await bank.ask("aa", "look")).target == "200"
@@ -251,9 +251,9 @@
 
 
 async def test_a_silent_call_is_given_up_and_made_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Watch, "FIRST", 0.05)
-    monkeypatch.setattr(Watch, "HOLD", 0.05)
-    monkeypatch.setattr(Watch, "PATIENCE", 0.05)
+    monkeypatch.setattr(Watch, "FIRST_POLL_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(Watch, "LONG_POLL_SECONDS", 0.05)
+    monkeypatch.setattr(Watch, "RESPONSE_TIMEOUT_SECONDS", 0.05)
     async with Bank(done) as bank:
         # The watch's second call finds silence, as when the way to discovery is cut.
         await until(lambda: bank.discovery.closed >= 1)
@@ -265,7 +265,7 @@
         assert (await bank.ask("aa", "look")).target == "503"
         began, count = anyio.current_time(), len(bank.discovery.got)
         await until(lambda: len(bank.discovery.got) >= count + 4)
-        assert anyio.current_time() - began > 2 * Watch.PACE  # not as fast as it answers
+        assert anyio.current_time() - began > 2 * Watch.MIN_POLL_INTERVAL_SECONDS  # not as fast as it answers
 
 
 async def test_idle_connections_make_room_for_others() -> None:
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -40,7 +40,7 @@
         (UpstreamConnection, ("round_trip", "close"), 5),
         (Pool, ("acquire", "close_expired", "_close_discarded"), 5),
         (PushDispatcher, ("on_list", "forget_departed", "_send"), 5),
-        (Watch, ("_call", "_astray"), 2),
+        (Watch, ("_poll", "_is_version_regression"), 2),
         (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
         (Exchange, ("finish",), 5),
         (messages, ("decode_invocation", "encode_answer", "encode_push", "outcome_of", "completed"), 5),
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -163,7 +163,11 @@
 
 
 def _more_patience() -> Any:
-    return mock.patch.multiple(Watch, PATIENCE=Watch.PATIENCE + 1.0, TOLD=Watch.TOLD + 1.0)
+    return mock.patch.multiple(
+        Watch,
+        RESPONSE_TIMEOUT_SECONDS=Watch.RESPONSE_TIMEOUT_SECONDS + 1.0,
+        MAX_STALENESS_SECONDS=Watch.MAX_STALENESS_SECONDS + 1.0,
+    )
 
 
 def _on_deciding_only() -> Any:
@@ -171,21 +175,23 @@
 
 
 def _odd_is_alive() -> Any:
-    call = Watch._call
+    call = Watch._poll
 
     async def alive(self: Watch, wait: float) -> ListAnswer | None:
         began = anyio.current_time()
         answer = await call(self, wait)
-        if answer is None and anyio.current_time() - began < wait + self.OVERDUE:
-            self.heard, self.deaf_at, self.off_since = began, math.inf, math.inf
+        if answer is None and anyio.current_time() - began < wait + self.SILENCE_THRESHOLD_SECONDS:
+            self.fresh_as_of, self.stale_deadline, self.unwatched_since = began, math.inf, math.inf
             return ListAnswer(self.version, ListKind.CHANGES, [], {})
         return answer
 
-    return mock.patch.object(Watch, "_call", alive)
+    return mock.patch.object(Watch, "_poll", alive)
 
 
 def _anew_each_call() -> Any:
-    return mock.patch.object(Watch, "told_by", property(lambda self: self.asked + self.TOLD))
+    return mock.patch.object(
+        Watch, "stale_at", property(lambda self: self.poll_started_at + self.MAX_STALENESS_SECONDS)
+    )
 
 
 def _move_is_answer() -> Any:
@@ -193,27 +199,27 @@
 
     def moved(self: Watch, address: Any) -> None:
         move(self, address)
-        self.deaf_at, self.heard = math.inf, anyio.current_time()
+        self.stale_deadline, self.fresh_as_of = math.inf, anyio.current_time()
 
     return mock.patch.object(Watch, "move", moved)
 
 
 def _never_blind() -> Any:
-    return mock.patch.object(Watch, "told_by", property(lambda self: math.inf))
+    return mock.patch.object(Watch, "stale_at", property(lambda self: math.inf))
 
 
 def _refusal_is_no_silence() -> Any:
     """As the text before the term of six seconds: a refusal or a reset in its time missed nothing."""
-    call = Watch._call
+    call = Watch._poll
 
     async def refused(self: Watch, wait: float) -> ListAnswer | None:
         began = anyio.current_time()
         answer = await call(self, wait)
-        if answer is None and anyio.current_time() - began < wait + self.PATIENCE + 0.05:
-            self.heard = anyio.current_time()
+        if answer is None and anyio.current_time() - began < wait + self.RESPONSE_TIMEOUT_SECONDS + 0.05:
+            self.fresh_as_of = anyio.current_time()
         return answer
 
-    return mock.patch.object(Watch, "_call", refused)
+    return mock.patch.object(Watch, "_poll", refused)
 
 
 def _always_blind() -> Any:
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -223,7 +223,7 @@
     @property
     def _deaf_at(self) -> float:
         """When what the watch may have missed binds: once it counts as told, and its grace is over."""
-        return self.clock() + self.watch.told_by - anyio.current_time() + self.pushes.send_grace
+        return self.clock() + self.watch.stale_at - anyio.current_time() + self.pushes.send_grace
 
     @property
     def blind_at(self) -> float:
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -63,7 +63,9 @@
         pushes = PushDispatcher(
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
         )
-        watch = Watch(config.discovery, known.version, tasks, host.list_told, log, pushed=config.list_is_told)
+        watch = Watch(
+            config.discovery, known.version, tasks, host.list_told, log, list_pushed=config.list_is_told
+        )
         host.start(
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -382,7 +382,7 @@
             lines = [listed(f"s{number}", "in_service") for number in range(self.schedule.backends)]
             known = messages.decode_list({"generation": 1, "reset": True, "instances": lines})
             watch = Watch(("list", 0), 1, tasks, host.list_told, self.log, connect=self.service.connect,
-                          pushed=self.schedule.pushed)  # fmt: skip
+                          list_pushed=self.schedule.pushed)  # fmt: skip
             pushed = self.schedule.pushed
             host.start(pushes, watch, known, self.schedule.seed, pushed, decisions(1, pushed))
             self.group.start_soon(self._faults, watch)
