--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -182,7 +182,7 @@
         answer = await call(self, wait)
         if answer is None and anyio.current_time() - began < wait + self.SILENCE_THRESHOLD_SECONDS:
             self.fresh_as_of, self.stale_deadline, self.unwatched_since = began, math.inf, math.inf
-            return ListAnswer(self.version, ListKind.CHANGES, [], {})
+            return ListAnswer(self.version, ListKind.DELTA, [], {})
         return answer
 
     return mock.patch.object(Watch, "_poll", alive)
--- a/thornladder/node/discovery/watch.py
+++ b/thornladder/node/discovery/watch.py
@@ -122,7 +122,7 @@
                 # Guards against changes that count from another list than the one that is known.
                 self.version, wait = None, 0.0
                 continue
-            if not wait or answer.entries or answer.kind is ListKind.WHOLE:
+            if not wait or answer.entries or answer.kind is ListKind.SNAPSHOT:
                 try:
                     self.tell(answer)
                 except Exception:
@@ -142,7 +142,7 @@
 
     def _is_version_regression(self, answer: ListAnswer) -> bool:
         """Whether these changes lead to a version before the one that is known."""
-        if answer.kind is ListKind.WHOLE or self.version is None:
+        if answer.kind is ListKind.SNAPSHOT or self.version is None:
             return False
         return answer.version is None or answer.version < self.version
 
