--- a/thornladder/node/exchange.py
+++ b/thornladder/node/exchange.py
@@ -33,7 +33,7 @@
         self.push_scopes: list[anyio.CancelScope] = []  # of the pushes, by number
         self.unread_seconds = unread_seconds  # seconds that it lay unread
         self.time_budget = invocation.time_left  # seconds, from its last byte on
-        self.body_incoming = message.flow is not None  # its body is still on its way
+        self.body_incoming = message.body_pipe is not None  # its body is still on its way
         self.pending_pushes = 0  # pushes that have not ended
         self._deliver, self._client_closed = deliver, client_closed
 
