--- a/thornladder/node/exchange.py
+++ b/thornladder/node/exchange.py
@@ -7,7 +7,7 @@
 import anyio
 
 from thornladder.interface import Invocation
-from thornladder.node.messages import Answer, Message
+from thornladder.node.messages import ClientResponse, UpstreamRequest
 
 
 class Exchange:
@@ -21,14 +21,14 @@
     def __init__(
         self,
         invocation: Invocation,
-        message: Message,
-        deliver: Callable[[Answer], None],
+        message: UpstreamRequest,
+        deliver: Callable[[ClientResponse], None],
         unread_seconds: float = 0.0,
         client_closed: Callable[[], bool] = lambda: False,
     ) -> None:
         """`client_closed` looks whether the client has closed its connection, read or not."""
         self.invocation, self.message = invocation, message
-        self.answer: Answer | None = None
+        self.answer: ClientResponse | None = None
         self.client_gone = False  # the client left before its answer
         self.push_scopes: list[anyio.CancelScope] = []  # of the pushes, by number
         self.unread_seconds = unread_seconds  # seconds that it lay unread
@@ -46,17 +46,17 @@
     def finished(self) -> bool:
         return self.client_gone or self.answer is not None
 
-    def finish(self, answer: Answer) -> None:
+    def finish(self, answer: ClientResponse) -> None:
         """The first final answer goes to the client; nothing does after it."""
         if not self.finished:
             self.answer = answer
             self._deliver(answer)
 
-    def observe_answer(self, look: Callable[[Answer], None]) -> None:
+    def observe_answer(self, look: Callable[[ClientResponse], None]) -> None:
         """`look` sees the final answer before it is delivered; it must not fail."""
         deliver = self._deliver
 
-        def both(answer: Answer) -> None:
+        def both(answer: ClientResponse) -> None:
             look(answer)
             deliver(answer)
 
