--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -14,12 +14,12 @@
 
 from thornladder import settings
 from thornladder.fields import MalformedError
-from thornladder.node.admin.server import Admin
+from thornladder.node.admin.server import AdminServer
 from thornladder.node.backends.pool import Pool
 from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import ServerState
 from thornladder.node.clients.front import Front
-from thornladder.node.companion import Companion, Surroundings
+from thornladder.node.companion import NodeContext, NodeExtension
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Phase, Places, Seen
 from thornladder.node.host import Clock, NodeHost
@@ -39,7 +39,11 @@
 
 
 async def run(
-    config: Config, known: DiscoveryResponse, log: Any, path: str = "", companions: Sequence[Companion] = ()
+    config: Config,
+    known: DiscoveryResponse,
+    log: Any,
+    path: str = "",
+    extensions: Sequence[NodeExtension] = (),
 ) -> None:
     """`path` names the file that the configuration came from, to be read again on SIGHUP."""
     clock = Clock()
@@ -49,7 +53,7 @@
         listener = socket.socket(fileno=config.inherited)
         listener.setblocking(False)
     second = _listener(config.admin) if config.admin else None
-    kept = SPARE + (Admin.DESCRIPTORS if second else 0) + sum(each.descriptors for each in companions)
+    kept = SPARE + (AdminServer.DESCRIPTORS if second else 0) + sum(each.descriptors for each in extensions)
     sockets = max(config.sockets - kept, 8)
     clients = round(CLIENTS * sockets)
     async with anyio.create_task_group() as group:
@@ -64,34 +68,34 @@
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
         )
         watch = Watch(
-            config.discovery, known.version, tasks, host.list_told, log, list_pushed=config.list_is_told
+            config.discovery, known.version, tasks, host.on_list_answer, log, list_pushed=config.list_is_told
         )
         host.start(
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
-        handler, shed_policy = host, host.turns_away
-        for each in companions:
-            handler, shed_policy = each.between(handler, shed_policy)
+        handler, shed_policy = host, host.shed_retry_after
+        for each in extensions:
+            handler, shed_policy = each.wrap(handler, shed_policy)
         server_state = ServerState(
-            handler, host.node.offerings, clock, held, lambda: host.lag.late, shed_policy, log
+            handler, host.node.offerings, clock, held, lambda: host.lag.is_late, shed_policy, log
         )
         asking = max(round(ASKING * config.sockets), 4)
         front = Front(server_state, clients, tasks, config.inherited is not None, asking)
-        further = {path: call for each in companions for path, call in each.calls().items()}
+        further = {path: call for each in extensions for path, call in each.admin_endpoints().items()}
         operations = Operations(host, front, handover.marks.add, log, further)
         tasks.supervise("a look at idle connections", _sweep, front, pushes)
         tasks.supervise("the handover", handover.run, host, front, pool, held)
-        around = Surroundings(
+        context = NodeContext(
             config.name, config.seed, config.folder, config.decisions["nodes"], config.admin, tasks, log,
             partial(handover.count, host), lambda: reload.config.raw["settings"],
         )  # fmt: skip
         reload = Reload(path, config, Parts(host, server_state, pushes, watch, handover), log)
-        for each in companions:
-            each.start(around)
-        await group.start(_heed_signals, front, reload, handover, tasks, log, companions)
+        for each in extensions:
+            each.start(context)
+        await group.start(_heed_signals, front, reload, handover, tasks, log, extensions)
         tasks.start("opening the door", _open, front, host, handover, tasks, listener)
         if second:
-            admin = Admin(operations, tasks, log, {path: call.method for path, call in further.items()})
+            admin = AdminServer(operations, tasks, log, {path: call.method for path, call in further.items()})
             tasks.supervise("taking operators' calls", admin.run, second)
         log.info(
             "serving", name=config.name, listen=list(listener.getsockname()), backends=len(known.entries),
@@ -269,7 +273,7 @@
     handover: Handover,
     tasks: Tasks,
     log: Any,
-    companions: Sequence[Companion],
+    extensions: Sequence[NodeExtension],
     *,
     task_status: TaskStatus,
 ) -> None:
@@ -287,15 +291,15 @@
                 leaving = True
                 handover.leave(front)
                 log.info("leaving", signal=number.name)
-                tasks.start("leaving", _leave, front, tasks, log, companions)
+                tasks.start("leaving", _leave, front, tasks, log, extensions)
 
 
-async def _leave(front: Front, tasks: Tasks, log: Any, companions: Sequence[Companion]) -> None:
+async def _leave(front: Front, tasks: Tasks, log: Any, extensions: Sequence[NodeExtension]) -> None:
     try:
         await front.drain()
-        for each in companions:
+        for each in extensions:
             with anyio.move_on_after(LAST_WORD):
-                await each.leave(front.server_state.has_successor)
+                await each.stop(front.server_state.has_successor)
         log.info("left")
     finally:
         tasks.cancel_all()
