--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -17,7 +17,7 @@
 from thornladder.node import streams
 from thornladder.node.backends.pool import Pool
 from thornladder.node.clients.connection import ClientConnection
-from thornladder.node.http1 import Failure, Line
+from thornladder.node.http1 import Failure, UpstreamConnection
 from thornladder.node.messages import MAX_BUFFERED_BYTES
 
 pytestmark = pytest.mark.anyio
@@ -39,9 +39,9 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting, self.passed, self.open = 0, 0, anyio.Event()
-        get = Pool.get
+        get = Pool.acquire
 
-        async def late(pool: Pool, backend: str, address: tuple[str, int]) -> Line | Failure:
+        async def late(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
             line = await get(pool, backend, address)
             self.waiting += 1
             with anyio.CancelScope(shield=True):
@@ -49,7 +49,7 @@
             self.passed += 1
             return line
 
-        monkeypatch.setattr(Pool, "get", late)
+        monkeypatch.setattr(Pool, "acquire", late)
 
 
 def client(port: int) -> socket.socket:
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -17,13 +17,13 @@
 from thornladder import decide
 from thornladder.node import messages, streams
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.front import Front
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.host import EventLoopLag, NodeHost
-from thornladder.node.http1 import Line
+from thornladder.node.http1 import UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, ConnectionError,
@@ -37,10 +37,10 @@
         (decide.Node, ("on_timer", "_sweep"), 2),
         (ClientConnection, ("look", "close_idle", "_answer", "_advance", "_whole", "_write"), 5),
         (Front, ("_accept", "_make_room", "sweep"), 3),
-        (Line, ("ask", "close"), 5),
-        (Pool, ("get", "sweep", "_close_left"), 5),
-        (Pushes, ("on_list", "forget", "_ask"), 5),
-        (Watch, ("_call", "_astray"), 2),
+        (UpstreamConnection, ("round_trip", "close"), 5),
+        (Pool, ("acquire", "close_expired", "_close_discarded"), 5),
+        (PushDispatcher, ("on_list", "forget_departed", "_send"), 5),
+        (Watch, ("_poll", "_is_version_regression"), 2),
         (
             NodeHost,
             ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "on_list_answer"),
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -10,7 +10,7 @@
 
 from thornladder.interface import Outcome, State
 from thornladder.node.backends.pool import Pool
-from thornladder.node.http1 import Failure, Line
+from thornladder.node.http1 import Failure, UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 WINDOW = 0.2  # seconds
@@ -24,16 +24,16 @@
     info = copy.deepcopy(SETTINGS)
     info["Classes"][2] |= {"Window": round(WINDOW * 1e6), "HardLimit": 3000000, "Aim": 900000, "Group": "all"}
     begun: list[float] = []
-    get, waiting, gate = Pool.get, anyio.Event(), anyio.Event()
+    get, waiting, gate = Pool.acquire, anyio.Event(), anyio.Event()
 
-    async def held(pool: Pool, backend: str, address: tuple[str, int]) -> Line | Failure:
+    async def held(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
         line = await get(pool, backend, address)
         if begun:
             waiting.set()
             await gate.wait()
         return line
 
-    monkeypatch.setattr(Pool, "get", held)
+    monkeypatch.setattr(Pool, "acquire", held)
 
     def breaks(got: ReceivedMessage) -> bytes:
         if got.headers.get("x-call-id") != "aa":
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -67,7 +67,7 @@
         self.context, self.log = context, context.log
         self.count = Count(context.configured_nodes, self.config.hold, self.config.lower_after)
         self.scope = anyio.CancelScope()
-        context.tasks.keep("membership", self._run)
+        context.tasks.supervise("membership", self._run)
 
     async def stop(self, has_successor: bool) -> None:
         """An upgrade goes on as the same member; else the others are told."""
