--- a/tests/harness.py
+++ b/tests/harness.py
@@ -225,7 +225,7 @@
     "a decision failed",
     "a push failed",
     "a watch failed",
-    "a look at idle connections failed",
+    "the idle connection sweep failed",
 )
 
 
--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -14,15 +14,15 @@
 from test_process import connect, running_node
 
 from thornladder import settings
-from thornladder.node.handover import Deployment, Learned, Lessons, Marks, StateFile
-from thornladder.node.maintenance import Mark
+from thornladder.node.handover import Deployment, LearnedState, LearnedStateStore, MaintenanceStore, StateFile
+from thornladder.node.maintenance import MaintenanceMark
 from thornladder.node.service import Handover
 
 OURS = Deployment.of(settings.policy_arguments(SETTINGS))
-GROWN = Deployment(OURS.zone, OURS.classes | {"extra"})
+GROWN = Deployment(OURS.zone, OURS.offering_names | {"extra"})
 CUT = Deployment(OURS.zone, frozenset({"pay"}))
 OTHERS = Deployment(OURS.zone, frozenset({"open-gate", "seat-map"}))
-ELSEWHERE = Deployment("elsewhere", OURS.classes)
+ELSEWHERE = Deployment("elsewhere", OURS.offering_names)
 
 
 @pytest.mark.parametrize("reader, fits", [(OURS, True), (GROWN, True), (CUT, True), (OTHERS, False),
@@ -31,39 +31,39 @@
     reader: Deployment, fits: bool, tmp_path: Path
 ) -> None:
     # Files were keyed by the node's name alone: start times, room and marks of another customer's backends.
-    Lessons(str(tmp_path), "n", OURS).keep(Learned({"s0": 100.0}, 4.5), 104.0)
-    Marks(str(tmp_path), "n", OURS).add({"s1": Mark(True, 90.0)})
-    told = Lessons(str(tmp_path), "n", reader).load(105.0)
-    marks = Marks(str(tmp_path), "n", reader).load()
-    assert (told == Learned({"s0": 100.0}, 4.5)) is fits and (told == Learned({})) is not fits
-    assert (marks == {"s1": Mark(True, 90.0)}) is fits and (marks == {}) is not fits
+    LearnedStateStore(str(tmp_path), "n", OURS).save(LearnedState({"s0": 100.0}, 4.5), 104.0)
+    MaintenanceStore(str(tmp_path), "n", OURS).merge({"s1": MaintenanceMark(True, 90.0)})
+    told = LearnedStateStore(str(tmp_path), "n", reader).load(105.0)
+    marks = MaintenanceStore(str(tmp_path), "n", reader).load()
+    assert (told == LearnedState({"s0": 100.0}, 4.5)) is fits and (told == LearnedState({})) is not fits
+    assert (marks == {"s1": MaintenanceMark(True, 90.0)}) is fits and (marks == {}) is not fits
 
 
 @pytest.mark.parametrize("under", [3, [], {}, {"zone": "x"}, {"zone": "x", "classes": "look"},
                                    {"zone": "x", "classes": [1, None]}])  # fmt: skip
 def test_a_file_that_does_not_say_soundly_whose_it_is_counts_as_none(under: Any, tmp_path: Path) -> None:
     sheet = StateFile(str(tmp_path), "n", "learned", OURS)
-    assert not OURS.fits(under)
+    assert not OURS.accepts(under)
     sheet.write({"starts": []})
-    assert sheet.read() is not None and not sheet.foreign
-    assert OURS.fits(None)  # as the text before wrote it: an upgrade loses nothing
+    assert sheet.read() is not None and not sheet.is_foreign
+    assert OURS.accepts(None)  # as the text before wrote it: an upgrade loses nothing
 
 
 def test_a_folder_of_another_deployment_is_named_once_and_written_over(tmp_path: Path) -> None:
     file = config([list_line(0, 1)], 1)
     given = settings.decode(file, {"TMPDIR": str(tmp_path)})
-    Lessons(str(tmp_path), "n", OTHERS).keep(Learned({"s0": 100.0}, 4.5), 104.0)
-    Marks(str(tmp_path), "n", OTHERS).add({"s0": Mark(True, 90.0)})
+    LearnedStateStore(str(tmp_path), "n", OTHERS).save(LearnedState({"s0": 100.0}, 4.5), 104.0)
+    MaintenanceStore(str(tmp_path), "n", OTHERS).merge({"s0": MaintenanceMark(True, 90.0)})
     log = RecordingLog()
     handover = Handover(given, log)
-    maintenance = handover.begin(105.0)
-    assert handover.learned == Learned({}) and not maintenance.knows("s0")
-    said = "the folder holds another deployment's files, which are not used"
+    maintenance = handover.join(105.0)
+    assert handover.learned == LearnedState({}) and not maintenance.knows("s0")
+    said = "ignoring the state files of another deployment in this folder"
     assert [line for line, _ in log.lines] == [said]
-    handover.marks.add({"s0": Mark(True, 106.0)})
-    handover.lessons.keep(Learned({"s0": 107.0}), 108.0)
+    handover.maintenance_store.merge({"s0": MaintenanceMark(True, 106.0)})
+    handover.learned_store.save(LearnedState({"s0": 107.0}), 108.0)
     again = Handover(given, log)
-    assert again.begin(109.0).knows("s0") and again.learned.starts == {"s0": 107.0}
+    assert again.join(109.0).knows("s0") and again.learned.ramp_starts == {"s0": 107.0}
     assert len(log.lines) == 1
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -26,8 +26,8 @@
 from thornladder.node.admin.calls import MAX_BODY_BYTES
 from thornladder.node.admin.server import AdminServer
 from thornladder.node.clients.front import Front
-from thornladder.node.handover import Marks, StateFile
-from thornladder.node.maintenance import Maintenance, Mark
+from thornladder.node.handover import MaintenanceStore, StateFile
+from thornladder.node.maintenance import Maintenance, MaintenanceMark
 from thornladder.node.messages import DiscoveryResponse
 
 pytestmark = pytest.mark.anyio
@@ -93,7 +93,9 @@
     text = body("s0")
     raw = b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
     async with LoopbackCluster(done, done, sockets=80) as bank:
-        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * AdminServer.MOST)]
+        crowd = [
+            await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * AdminServer.MAX_CONNECTIONS)
+        ]
         for each in crowd[::2]:
             await each.send(b"POST /sta")
         async with await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
@@ -111,7 +113,7 @@
 
 
 async def test_a_call_that_does_not_come_whole_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(AdminServer, "WHOLE", 0.1)
+    monkeypatch.setattr(AdminServer, "REQUEST_TIMEOUT_SECONDS", 0.1)
     async with LoopbackCluster(done) as bank, await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
         await stream.send(
             b"POST /standby HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
@@ -206,40 +208,45 @@
 
 
 def test_marks_outlast_all_that_discovery_tells() -> None:
-    it = Maintenance({"a": Mark(True, 50.0)})
-    assert [each.state for each in it.lay(answer(entry("a"), entry("b")), 60.0).entries] == [
+    it = Maintenance({"a": MaintenanceMark(True, 50.0)})
+    assert [each.state for each in it.apply(answer(entry("a"), entry("b")), 60.0).entries] == [
         State.DRAINING, State.RUNNING,
     ]  # fmt: skip
-    assert it.lay(answer(entry("b")), 61.0).entries == [entry("b")]  # it left the list while out
+    assert it.apply(answer(entry("b")), 61.0).entries == [entry("b")]  # it left the list while out
     assert it.knows("a") and not it.knows("c")
-    [back] = it.lay(answer(entry("a", started=59.0), kind=ListKind.DELTA), 62.0).entries
+    [back] = it.apply(answer(entry("a", started=59.0), kind=ListKind.DELTA), 62.0).entries
     assert back.state is State.DRAINING
-    assert it.set({"a": Mark(False, 49.0)}) is None  # an older call
-    news = it.set({"a": Mark(False, 70.0)})
+    assert it.update({"a": MaintenanceMark(False, 49.0)}) is None  # an older call
+    news = it.update({"a": MaintenanceMark(False, 70.0)})
     assert [(each.state, each.started_at) for each in news.entries] == [(State.RUNNING, 70.0)]
-    [later] = it.lay(answer(entry("a", started=80.0), kind=ListKind.DELTA), 81.0).entries
+    [later] = it.apply(answer(entry("a", started=80.0), kind=ListKind.DELTA), 81.0).entries
     assert later.started_at == 80.0
-    [older] = it.lay(answer(entry("a", started=59.0), kind=ListKind.DELTA), 82.0).entries
+    [older] = it.apply(answer(entry("a", started=59.0), kind=ListKind.DELTA), 82.0).entries
     assert older.started_at == 70.0
-    assert it.set({"b": Mark(False, 90.0)}) is None  # was never out
-    it.set({"b": Mark(True, 91.0)})
-    [gone] = it.lay(answer(entry("b", State.DRAINING), kind=ListKind.DELTA), 92.0).entries
+    assert it.update({"b": MaintenanceMark(False, 90.0)}) is None  # was never out
+    it.update({"b": MaintenanceMark(True, 91.0)})
+    [gone] = it.apply(answer(entry("b", State.DRAINING), kind=ListKind.DELTA), 92.0).entries
     assert gone.state is State.DRAINING
-    assert it.set({"b": Mark(False, 93.0)}).entries[0].state is State.DRAINING  # by discovery's word
+    assert (
+        it.update({"b": MaintenanceMark(False, 93.0)}).entries[0].state is State.DRAINING
+    )  # by discovery's word
 
 
 def test_marks_are_written_whole_and_two_writers_lose_nothing(tmp_path: Path) -> None:
-    one, two = Marks(str(tmp_path), "n/1"), Marks(str(tmp_path), "n/1")
-    other = Marks(str(tmp_path), "n_1")
-    one.add({"a": Mark(True, 5.0)})
-    two.add({"b": Mark(True, 6.0), "a": Mark(False, 4.0)})
-    assert one.news() == {"a": Mark(True, 5.0), "b": Mark(True, 6.0)} and one.news() == {}
+    one, two = MaintenanceStore(str(tmp_path), "n/1"), MaintenanceStore(str(tmp_path), "n/1")
+    other = MaintenanceStore(str(tmp_path), "n_1")
+    one.merge({"a": MaintenanceMark(True, 5.0)})
+    two.merge({"b": MaintenanceMark(True, 6.0), "a": MaintenanceMark(False, 4.0)})
+    assert (
+        one.load_if_changed() == {"a": MaintenanceMark(True, 5.0), "b": MaintenanceMark(True, 6.0)}
+        and one.load_if_changed() == {}
+    )
     assert other.load() == {}
     [path] = tmp_path.glob("*.maintenance")
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
-        assert Marks(str(tmp_path), "n/1").load() == {}
+        assert MaintenanceStore(str(tmp_path), "n/1").load() == {}
     path.write_bytes(whole.replace(b"1 ", b"2 ", 1))  # of another version
     assert one.load() == {}
     path.write_bytes(whole.replace(b"true", b"trve", 1))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -34,8 +34,8 @@
 
 from thornladder import decide, settings
 from thornladder.interface import ListKind, State
-from thornladder.node.handover import Learned, Lessons, Phase, Places, Seen
-from thornladder.node.maintenance import Maintenance, Mark
+from thornladder.node.handover import LearnedState, LearnedStateStore, Phase, ProcessRegistry, ProcessStatus
+from thornladder.node.maintenance import Maintenance, MaintenanceMark
 from thornladder.node.messages import decode_list
 
 pytestmark = pytest.mark.anyio
@@ -249,30 +249,38 @@
 
 
 def test_a_place_is_free_as_soon_as_its_holder_is_dead(tmp_path: Path) -> None:
-    one, two = Places(str(tmp_path), "n"), Places(str(tmp_path), "n")
-    one.take(Phase.SERVING, 7)
-    assert two.others() == [Seen(Phase.SERVING, 7)] and one.others() == []
-    two.take(Phase.STARTING, 0)
-    assert one.others() == [Seen(Phase.STARTING, 0)] and two.others() == [Seen(Phase.SERVING, 7)]
-    one.take(Phase.LEAVING, 123)
-    assert two.others() == [Seen(Phase.LEAVING, 123)] and Places(str(tmp_path), "m").others() == []
-    os.close(one.own[1])  # as the kernel does at any death
+    one, two = ProcessRegistry(str(tmp_path), "n"), ProcessRegistry(str(tmp_path), "n")
+    one.announce(Phase.SERVING, 7)
+    assert two.others() == [ProcessStatus(Phase.SERVING, 7)] and one.others() == []
+    two.announce(Phase.STARTING, 0)
+    assert one.others() == [ProcessStatus(Phase.STARTING, 0)] and two.others() == [
+        ProcessStatus(Phase.SERVING, 7)
+    ]
+    one.announce(Phase.LEAVING, 123)
+    assert (
+        two.others() == [ProcessStatus(Phase.LEAVING, 123)]
+        and ProcessRegistry(str(tmp_path), "m").others() == []
+    )
+    os.close(one.own_slot[1])  # as the kernel does at any death
     assert two.others() == []
     for path in tmp_path.iterdir():
         path.write_bytes(b"\xff" * 40)
-    assert Places(str(tmp_path), "n").others() == [Seen(Phase.STARTING, 0)]
-    assert Places(str(tmp_path / "none"), "n").others() == []
+    assert ProcessRegistry(str(tmp_path), "n").others() == [ProcessStatus(Phase.STARTING, 0)]
+    assert ProcessRegistry(str(tmp_path / "none"), "n").others() == []
 
 
 def test_what_is_cold_stays_cold_for_the_process_that_takes_over(tmp_path: Path) -> None:
-    lessons = Lessons(str(tmp_path), "n")
-    lessons.keep(Learned({"s0": 100.0, "s1": 200.0, "s2": 90.0, "s3": -1e9}, 4.5), 104.0)
-    told = Lessons(str(tmp_path), "n").load(105.0)
-    assert told.room == 4.5 and Lessons(str(tmp_path), "n").load(204.0).room == 0.0  # of another time
-    it = Maintenance({"s2": Mark(True, 95.0)})
-    it.warm_from(told.starts, 105.0)
+    lessons = LearnedStateStore(str(tmp_path), "n")
+    lessons.save(LearnedState({"s0": 100.0, "s1": 200.0, "s2": 90.0, "s3": -1e9}, 4.5), 104.0)
+    told = LearnedStateStore(str(tmp_path), "n").load(105.0)
+    assert (
+        told.limit_per_backend == 4.5
+        and LearnedStateStore(str(tmp_path), "n").load(204.0).limit_per_backend == 0.0
+    )  # of another time
+    it = Maintenance({"s2": MaintenanceMark(True, 95.0)})
+    it.restore_ramp_starts(told.ramp_starts, 105.0)
     known = {"generation": 1, "reset": True, "instances": [list_line(number, 1) for number in range(4)]}
-    laid = it.lay(decode_list(known), 105.0)
+    laid = it.apply(decode_list(known), 105.0)
     assert laid.kind is ListKind.SNAPSHOT
     assert [each.started_at for each in laid.entries] == [100.0, None, None, None]  # s1 is yet to come
     assert laid.entries[2].state is State.DRAINING
--- a/thornladder/node/admin/__init__.py
+++ b/thornladder/node/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: calls of operators, one to a connection."""
+"""The admin server: requests of operators at an address of its own, one to a connection."""
--- a/thornladder/node/admin/calls.py
+++ b/thornladder/node/admin/calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls to and from small typed values: no I/O, no effects."""
+"""Decodes operators' HTTP requests into small typed values and encodes the responses: no I/O, no effects."""
 
 from __future__ import annotations
 
@@ -12,60 +12,71 @@
 from thornladder.fields import MalformedError, get_field, parse_object
 from thornladder.node import messages
 
-MAX_HEAD_BYTES = 8 * 1024  # bytes: an operator's call has a few short lines
-MAX_BODY_BYTES = 4 * 1024  # bytes: one id
-MAX_ID_CHARS = 256  # characters of an id
+MAX_HEAD_BYTES = 8 * 1024  # a request line and a few headers
+MAX_BODY_BYTES = 4 * 1024  # an object with one backend id
+MAX_ID_CHARS = 256  # length of a backend id
 
 
 class Endpoint(Enum):
+    """The endpoints, by path."""
+
     STATUS = "/status"
     ENTER_MAINTENANCE = "/maintenance/enter"
     EXIT_MAINTENANCE = "/maintenance/exit"
     STANDBY = "/standby"
     ACTIVE = "/active"
-    EXTENSION = ""  # of a part beside the node, told apart by its path
+    EXTENSION = ""  # any endpoint of an extension; the request's path says which
 
 
-_PATHS = {name.value: name for name in Endpoint if name is not Endpoint.EXTENSION}
-NOTHING: Mapping[str, bytes] = {}
+_ENDPOINTS_BY_PATH = {endpoint.value: endpoint for endpoint in Endpoint if endpoint is not Endpoint.EXTENSION}
+NO_ENDPOINTS: Mapping[str, bytes] = {}
 
 
 class AdminRequest(NamedTuple):
+    """A complete request. `path` and `body` are set for endpoints of extensions only."""
+
     endpoint: Endpoint
-    backend_id: str = ""  # for maintenance alone
-    path: str = ""  # of a further call, and what came with it
+    backend_id: str = ""  # for maintenance only
+    path: str = ""
     body: bytes = b""
 
 
 class AdminResponse(NamedTuple):
-    """What a caller is told."""
+    """A response: HTTP status and the object sent as its JSON body."""
 
     status: int
-    facts: dict[str, Any]
+    payload: dict[str, Any]
 
 
-def error_response(status: int, why: str) -> AdminResponse:
-    return AdminResponse(status, {"error": why})
+def error_response(status: int, message: str) -> AdminResponse:
+    """A response whose body is an object with the key `error`."""
+    return AdminResponse(status, {"error": message})
 
 
 class RequestReader:
-    """Takes in the bytes of one call, cut anywhere, until it is whole or known to be none."""
+    """Parses one request from bytes that arrive in pieces of any size."""
 
-    def __init__(self, further: Mapping[str, bytes] = NOTHING, most: int = MAX_BODY_BYTES) -> None:
-        """`further`: the method of each call that a part beside the node answers, by path; `most`: bytes."""
-        self.further, self.most = further, most
+    def __init__(
+        self, extra_endpoints: Mapping[str, bytes] = NO_ENDPOINTS, max_body_bytes: int = MAX_BODY_BYTES
+    ) -> None:
+        """`extra_endpoints`: HTTP method of each endpoint of extensions, by path."""
+        self.extra_endpoints, self.max_body_bytes = extra_endpoints, max_body_bytes
         self.path = ""
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
-        self.endpoint = Endpoint.STATUS  # of the call, once its head is read
+        self.endpoint = Endpoint.STATUS  # of the request, once its head has been read
         self.body = b""
 
     @property
-    def begun(self) -> bool:
+    def has_data(self) -> bool:
+        """Whether any byte has been received."""
         return self.request is not None or bool(self.http.trailing_data[0])
 
-    def take(self, data: bytes) -> AdminRequest | AdminResponse | None:
-        """The call, what is wrong with it, or None: more is needed. No bytes stand for the caller's end."""
+    def receive(self, data: bytes) -> AdminRequest | AdminResponse | None:
+        """Takes received bytes; empty ones mean that the client closed its side.
+
+        Returns the request once it is complete, an error response if it is refused, or None: more is needed.
+        """
         try:
             self.http.receive_data(data)
             while True:
@@ -74,44 +85,44 @@
                     return None
                 if isinstance(event, h11.Request):
                     self.request = event
-                    if doubt := self._doubt(event):
-                        return doubt
+                    if refusal := self._check_head(event):
+                        return refusal
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > self.most:
+                    if len(self.body) > self.max_body_bytes:
                         return error_response(413, "the body is too long")
                 elif isinstance(event, h11.EndOfMessage):
-                    return self._whole()
+                    return self._complete_request()
                 else:
                     return error_response(400, "not a call")
         except (h11.RemoteProtocolError, RuntimeError) as error:
             return error_response(getattr(error, "error_status_hint", 400), "malformed")
 
-    def wants_more(self) -> bytes:
-        """What to say to a caller that waits to be asked for its body."""
+    def continue_response(self) -> bytes:
+        """The 100 Continue that a client with `Expect: 100-continue` waits for; empty for other clients."""
         if not self.http.they_are_waiting_for_100_continue:
             return b""
         return self.http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
-    def _doubt(self, request: h11.Request) -> AdminResponse | None:
+    def _check_head(self, request: h11.Request) -> AdminResponse | None:
         path = self.path = request.target.partition(b"?")[0].decode("latin-1")
-        name = _PATHS.get(path, Endpoint.EXTENSION if path in self.further else None)
-        if name is None:
+        endpoint = _ENDPOINTS_BY_PATH.get(path, Endpoint.EXTENSION if path in self.extra_endpoints else None)
+        if endpoint is None:
             return error_response(404, "no such call")
-        self.endpoint = name
-        reads = name is Endpoint.STATUS or self.further.get(path) == b"GET"
-        wanted = (b"GET", b"HEAD") if reads else (b"POST",)
-        if request.method not in wanted:
-            return error_response(405, f"{path} is {wanted[0].decode()}")
-        names = [each for each, _ in request.headers]
+        self.endpoint = endpoint
+        is_read = endpoint is Endpoint.STATUS or self.extra_endpoints.get(path) == b"GET"
+        allowed = (b"GET", b"HEAD") if is_read else (b"POST",)
+        if request.method not in allowed:
+            return error_response(405, f"{path} is {allowed[0].decode()}")
+        names = [name for name, _ in request.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
             return error_response(400, "Content-Length and Transfer-Encoding")
         length = dict(request.headers).get(b"content-length", b"0")
-        if len(length) > 9 or int(length) > self.most:
+        if len(length) > 9 or int(length) > self.max_body_bytes:
             return error_response(413, "the body is too long")
         return None
 
-    def _whole(self) -> AdminRequest | AdminResponse:
+    def _complete_request(self) -> AdminRequest | AdminResponse:
         if self.endpoint is Endpoint.EXTENSION:
             return AdminRequest(self.endpoint, path=self.path, body=self.body)
         if self.endpoint not in (Endpoint.ENTER_MAINTENANCE, Endpoint.EXIT_MAINTENANCE):
@@ -124,11 +135,12 @@
             return error_response(400, "host must be the id of a backend")
         return AdminRequest(self.endpoint, backend)
 
-    def encode(self, verdict: AdminResponse) -> bytes:
+    def encode(self, response: AdminResponse) -> bytes:
+        """The response as sent; without its body if the request was a HEAD."""
         headers = [(b"Content-Type", b"application/json")]
-        if verdict.status == 405:
+        if response.status == 405:
             headers.append((b"Allow", b"GET, HEAD, POST"))
-        body = json.dumps(verdict.facts).encode() + b"\n"
-        head, body = messages.encode_response(verdict.status, headers, body, True)
+        body = json.dumps(response.payload).encode() + b"\n"
+        head, body = messages.encode_response(response.status, headers, body, True)
         data = self.http.send(head) or b""
         return data if self.request is not None and self.request.method == b"HEAD" else data + body
--- a/thornladder/node/admin/server.py
+++ b/thornladder/node/admin/server.py
@@ -1,4 +1,4 @@
-"""Listens at the second address. Each caller has a task and a time of its own, and shuts out no other."""
+"""Serves operators' requests at the admin address; its connections are limited in number and time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from thornladder.node.admin.calls import (
     MAX_BODY_BYTES,
-    NOTHING,
+    NO_ENDPOINTS,
     AdminRequest,
     AdminResponse,
     RequestReader,
@@ -19,107 +19,109 @@
 from thornladder.node.tasks import Tasks
 
 
-class Caller:
-    """One connection: one call and its answer."""
+class AdminConnection:
+    """One connection, for one request and its response."""
 
-    def __init__(self, raw: socket.socket, further: Mapping[str, bytes], most: int) -> None:
-        self.raw, self.reader = raw, RequestReader(further, most)
+    def __init__(
+        self, raw_socket: socket.socket, extra_endpoints: Mapping[str, bytes], max_body_bytes: int
+    ) -> None:
+        self.raw_socket, self.reader = raw_socket, RequestReader(extra_endpoints, max_body_bytes)
         self.scope = anyio.CancelScope()
 
 
 class AdminServer:
-    MOST = 24  # callers at once: staff and their scripts are few; what is silent beyond that gives way
-    DESCRIPTORS = MOST + 2  # with the listener, and the one that comes while another gives way
-    WHOLE = 2.0  # seconds for a call to come whole: a line or two over any network
-    TAKEN = 1.0  # seconds for its answer to be taken
+    """Accepts connections and passes each request to a handler."""
+
+    MAX_CONNECTIONS = 24  # operators and their scripts are few; beyond it a silent connection is closed
+    MAX_DESCRIPTORS = MAX_CONNECTIONS + 2  # the listener, and a new connection while an old one is closed
+    REQUEST_TIMEOUT_SECONDS = 2.0  # for a complete request: one or two lines over any network
+    RESPONSE_TIMEOUT_SECONDS = 1.0  # for the client to read the response
 
     def __init__(
         self,
-        act: Callable[[AdminRequest], AdminResponse],
+        handler: Callable[[AdminRequest], AdminResponse],
         tasks: Tasks,
         log: Any,
-        further: Mapping[str, bytes] = NOTHING,
-        most: int = MAX_BODY_BYTES,
+        extra_endpoints: Mapping[str, bytes] = NO_ENDPOINTS,
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        """`act` carries a call out at once and must not wait; `further`: methods of more calls, by path.
-
-        `most`: bytes of a call's body.
-        """
-        self.further, self.most = further, most
-        self.act, self.tasks, self.log = act, tasks, log
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        """`handler` must not block. `extra_endpoints`: HTTP method of each extension endpoint, by path."""
+        self.extra_endpoints, self.max_body_bytes = extra_endpoints, max_body_bytes
+        self.handler, self.tasks, self.log = handler, tasks, log
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
 
     async def run(self, listener: socket.socket) -> None:
+        """Accepts connections until it is cancelled."""
         while True:
             await anyio.wait_readable(listener)
             try:
-                raw, _ = listener.accept()
+                raw_socket, _ = listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 continue
             except OSError as error:
-                self.log.warning("a caller could not be accepted", error=repr(error))
+                self.log.warning("an admin connection could not be accepted", error=repr(error))
                 await anyio.sleep(0.05)
                 continue
-            raw.setblocking(False)
-            if len(self.callers) >= self.MOST:
+            raw_socket.setblocking(False)
+            if len(self.connections) >= self.MAX_CONNECTIONS:
                 self._make_room()
-            caller = Caller(raw, self.further, self.most)
-            self.callers[caller] = None
-            # Its first bytes are mostly there: a node short of its core answers without another turn.
-            self.tasks.start("a caller", self._serve, caller)
+            connection = AdminConnection(raw_socket, self.extra_endpoints, self.max_body_bytes)
+            self.connections[connection] = None
+            # The request has mostly arrived: a node short of CPU answers without a turn of the event loop.
+            self.tasks.start("an admin connection", self._serve, connection)
 
     def _make_room(self) -> None:
-        """The oldest that said nothing goes, else the oldest.
-
-        Guards against silent callers that fill all places.
-        """
-        oldest = next((each for each in self.callers if not each.reader.begun), next(iter(self.callers)))
-        del self.callers[oldest]
+        """Closes the oldest connection that sent nothing, else the oldest: silent ones lock nobody out."""
+        oldest = next(
+            (connection for connection in self.connections if not connection.reader.has_data),
+            next(iter(self.connections)),
+        )
+        del self.connections[oldest]
         oldest.scope.cancel()
 
-    async def _serve(self, caller: Caller) -> None:
+    async def _serve(self, connection: AdminConnection) -> None:
         try:
-            with caller.scope:
-                verdict = await self._call(caller)
-                with anyio.move_on_after(self.TAKEN):
-                    await self._send(caller.raw, caller.reader.encode(verdict))
-                    caller.raw.shutdown(socket.SHUT_WR)
-                    # Guards against a reset that overtakes the answer where more came than was read.
-                    while await self._receive(caller.raw):
+            with connection.scope:
+                response = await self._handle_request(connection)
+                with anyio.move_on_after(self.RESPONSE_TIMEOUT_SECONDS):
+                    await self._send(connection.raw_socket, connection.reader.encode(response))
+                    connection.raw_socket.shutdown(socket.SHUT_WR)
+                    # Drains unread input: closing with some sends a reset that may overtake the response.
+                    while await self._receive(connection.raw_socket):
                         pass
         except OSError:
-            pass  # the caller is gone
+            pass  # the client disconnected
         finally:
-            self.callers.pop(caller, None)
-            caller.raw.close()
-
-    async def _call(self, caller: Caller) -> AdminResponse:
-        told: AdminRequest | AdminResponse | None = None
-        with anyio.move_on_after(self.WHOLE):
-            while told is None:
-                told = caller.reader.take(await self._receive(caller.raw))
-                if told is None and (more := caller.reader.wants_more()):
-                    await self._send(caller.raw, more)
-        if told is None:
+            self.connections.pop(connection, None)
+            connection.raw_socket.close()
+
+    async def _handle_request(self, connection: AdminConnection) -> AdminResponse:
+        result: AdminRequest | AdminResponse | None = None
+        with anyio.move_on_after(self.REQUEST_TIMEOUT_SECONDS):
+            while result is None:
+                result = connection.reader.receive(await self._receive(connection.raw_socket))
+                if result is None and (data := connection.reader.continue_response()):
+                    await self._send(connection.raw_socket, data)
+        if result is None:
             return error_response(408, "it did not come whole")
-        if isinstance(told, AdminResponse):
-            return told
+        if isinstance(result, AdminResponse):
+            return result
         try:
-            return self.act(told)
+            return self.handler(result)
         except Exception:
-            self.log.exception("a call could not be carried out", call=told.endpoint.value)
+            self.log.exception("an admin request could not be carried out", call=result.endpoint.value)
             return error_response(500, "it could not be carried out")
 
-    async def _receive(self, raw: socket.socket) -> bytes:
+    async def _receive(self, raw_socket: socket.socket) -> bytes:
         while True:
             try:
-                return raw.recv(4096)
+                return raw_socket.recv(4096)
             except (BlockingIOError, InterruptedError):
-                await anyio.wait_readable(raw)
+                await anyio.wait_readable(raw_socket)
 
-    async def _send(self, raw: socket.socket, data: bytes) -> None:
+    async def _send(self, raw_socket: socket.socket, data: bytes) -> None:
         while data:
             try:
-                data = data[raw.send(data) :]
+                data = data[raw_socket.send(data) :]
             except (BlockingIOError, InterruptedError):
-                await anyio.wait_writable(raw)
+                await anyio.wait_writable(raw_socket)
--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -1,7 +1,7 @@
-"""The seam for parts beside a node that know of other nodes: none of them under `python -m thornladder`.
+"""Interface for extensions of a node, such as membership of a fleet; `python -m thornladder` loads none.
 
-A companion decides nothing about invocations. It may tell the module of how many nodes it is one, and answer
-calls of operators; the node goes on serving whatever becomes of it.
+An extension decides nothing about invocations. It may tell the node how many nodes there are and serve admin
+endpoints; the node keeps serving if it fails.
 """
 
 from __future__ import annotations
@@ -17,39 +17,41 @@
 
 
 class ExtensionEndpoint(NamedTuple):
-    """A call at the second address that a companion answers, at once."""
+    """An admin endpoint of an extension; `handler` responds at once and must not block."""
 
     method: bytes
     handler: Callable[[AdminRequest], AdminResponse]
 
 
 class NodeContext(NamedTuple):
-    """What a companion has of its node."""
+    """What a node gives to its extensions."""
 
     name: str
     seed: int
     folder: str  # private to the node, shared by its processes
-    configured_nodes: int  # as the settings say
+    configured_nodes: int  # number of nodes in the settings
     admin: Address | None
     tasks: Tasks
     log: Any
-    set_node_count: Callable[[int], None]  # of how many nodes this is one, from now on
-    settings: Callable[[], dict[str, Any]]  # that are in force, in the operators' form
+    set_node_count: Callable[[int], None]  # overrides `configured_nodes` in the decisions
+    settings: Callable[[], dict[str, Any]]  # the settings in force, as in the configuration file
 
 
 class NodeExtension(Protocol):
-    descriptors: int  # that it may hold at once
+    """A part that runs beside the node in the same process."""
+
+    descriptors: int  # most that it may hold at once
 
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
-        """By path."""
+        """The admin endpoints that it serves, by path."""
 
     def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
-        """Who takes invocations and who turns them away unread: the same two, or such that look on."""
+        """Returns both unchanged, or wrapped so that the extension observes invocations."""
 
     def start(self, context: NodeContext) -> None:
-        """Once, from within the node's event loop, before the node serves."""
+        """Called once within the node's event loop, before the node serves."""
 
     async def stop(self, has_successor: bool) -> None:
-        """The node has answered all that it had and ends; `succeeded`: another process of it goes on."""
+        """Called after the node has drained; `has_successor`: another process of the node keeps serving."""
--- a/thornladder/node/handover.py
+++ b/thornladder/node/handover.py
@@ -1,5 +1,7 @@
-"""What outlives a process of this node: files in its private folder, keyed by the node's name, that say under
-which deployment's settings they were written."""
+"""State of a node that outlives its process: files in the node's private folder, and a registry of processes.
+
+Files are named after the node and record the deployment whose settings they were written under.
+"""
 
 from __future__ import annotations
 
@@ -15,137 +17,149 @@
 from typing import Any, NamedTuple
 
 from thornladder.fields import MalformedError, get_field, get_objects, parse_object
-from thornladder.node.maintenance import Mark
+from thornladder.node.maintenance import MaintenanceMark
 
-FORM = 1  # of the files: another form is of another version, and counts as none
-MOST_FILE = 1024 * 1024  # bytes: more is no file of ours
+FORMAT_VERSION = 1  # files of another version are ignored
+MAX_FILE_BYTES = 1024 * 1024  # no file written here is larger
 
 
-def _key(node: str) -> str:
-    """A file name of its own for every name of a node, whatever that holds."""
+def _file_stem(node: str) -> str:
+    """A file name that differs for every node name, whatever characters that holds."""
     plain = re.sub(r"[^A-Za-z0-9_-]", "_", node)[:64]
     return f"thornladder-{plain}-{zlib.crc32(node.encode()):08x}"
 
 
 class Deployment(NamedTuple):
-    """What tells one deployment's settings from another's, and stays over an ordinary change of them."""
+    """Identifies a deployment by settings that survive their ordinary changes."""
 
     zone: str = ""
-    classes: frozenset[str] = frozenset()
+    offering_names: frozenset[str] = frozenset()
 
     @classmethod
     def of(cls, decisions: dict[str, Any]) -> Deployment:
+        """The deployment of decision settings (keyword arguments of `decide.Node`)."""
         return cls(decisions["zone"], frozenset(offering.name for offering in decisions["offerings"]))
 
-    def fits(self, told: Any) -> bool:
-        """Whether a file that says this of itself may be used: an upgrade may add classes and drop some."""
-        if told is None or not self.classes:
-            return True  # written before files said so
-        classes = told.get("classes") if isinstance(told, dict) else None
-        if not isinstance(classes, list) or told.get("zone") != self.zone:
+    def accepts(self, written_under: Any) -> bool:
+        """Whether a file with this `under` value is this deployment's.
+
+        One common offering is enough: an upgrade may add some and drop others.
+        """
+        if written_under is None or not self.offering_names:
+            return True  # an older version wrote no `under`
+        classes = written_under.get("classes") if isinstance(written_under, dict) else None
+        if not isinstance(classes, list) or written_under.get("zone") != self.zone:
             return False
-        return any(name in self.classes for name in classes if isinstance(name, str))
+        return any(name in self.offering_names for name in classes if isinstance(name, str))
 
 
-ANY = Deployment()  # of files that hold nothing of a deployment's
+ANY_DEPLOYMENT = Deployment()  # for files that depend on no settings
 
 
 class StateFile:
-    """One small checked file. What is missing, torn, of another node, deployment or version reads as None."""
+    """One small JSON file with a checksum.
+
+    A file that is missing, truncated or corrupt, or of another node, deployment or format version, reads as
+    None.
+    """
 
-    def __init__(self, folder: str, node: str, what: str, deployment: Deployment = ANY) -> None:
+    def __init__(self, folder: str, node: str, suffix: str, deployment: Deployment = ANY_DEPLOYMENT) -> None:
         self.node, self.deployment = node, deployment
-        self.foreign = False  # whether it was another deployment's when it was last read
-        self.path = Path(folder) / f"{_key(node)}.{what}"
+        self.is_foreign = False  # whether the last read found a file of another deployment
+        self.path = Path(folder) / f"{_file_stem(node)}.{suffix}"
 
     def read(self) -> dict[str, Any] | None:
+        """The stored object, or None."""
         try:
             with self.path.open("rb") as file:
-                head, _, text = file.read(MOST_FILE).partition(b"\n")
-            if head != b"%d %08x" % (FORM, zlib.crc32(text)):
+                header, _, text = file.read(MAX_FILE_BYTES).partition(b"\n")
+            if header != b"%d %08x" % (FORMAT_VERSION, zlib.crc32(text)):
                 return None
-            told = parse_object(text)
+            content = parse_object(text)
         except (OSError, MalformedError):
             return None
-        if told.get("node") != self.node:
+        if content.get("node") != self.node:
             return None
-        self.foreign = not self.deployment.fits(told.get("under"))
-        return None if self.foreign else told
-
-    def write(self, told: dict[str, Any]) -> None:
-        """Whole or not at all: readers see the old file until the new one stands."""
-        under = {"zone": self.deployment.zone, "classes": sorted(self.deployment.classes)}
-        text = json.dumps({**told, "node": self.node, "under": under}).encode()
-        part = self.path.with_name(f"{self.path.name}.{os.getpid()}")
+        self.is_foreign = not self.deployment.accepts(content.get("under"))
+        return None if self.is_foreign else content
+
+    def write(self, content: dict[str, Any]) -> None:
+        """Replaces the file atomically; raises OSError."""
+        under = {"zone": self.deployment.zone, "classes": sorted(self.deployment.offering_names)}
+        text = json.dumps({**content, "node": self.node, "under": under}).encode()
+        temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         try:
-            part.write_bytes(b"%d %08x\n%s" % (FORM, zlib.crc32(text), text))
-            part.replace(self.path)
+            temporary.write_bytes(b"%d %08x\n%s" % (FORMAT_VERSION, zlib.crc32(text), text))
+            temporary.replace(self.path)
         except OSError:
             with suppress(OSError):
-                part.unlink()
+                temporary.unlink()
             raise
 
-    def stamp(self) -> tuple[int, int] | None:
-        """What changes with each write."""
+    def fingerprint(self) -> tuple[int, int] | None:
+        """A value that changes with each write; None if there is no file."""
         try:
-            about = self.path.stat()
+            stat = self.path.stat()
         except OSError:
             return None
-        return about.st_ino, about.st_mtime_ns
+        return stat.st_ino, stat.st_mtime_ns
 
 
 class Phase(Enum):
-    """How far a process of this node is."""
+    """Stage in the life of a process of this node."""
 
     STARTING = "starting"
     SERVING = "serving"
     LEAVING = "leaving"
 
 
-class Seen(NamedTuple):
-    """What another process of this node says of itself."""
+class ProcessStatus(NamedTuple):
+    """What another process of this node announces."""
 
     phase: Phase
-    used: int  # descriptors
+    descriptors: int  # in use
 
 
-class Places:
-    """Who is alive of this node's processes: each holds a lock on a file, which any death frees."""
+class ProcessRegistry:
+    """The live processes of a node: each holds a lock on a file, which the kernel frees at its death."""
 
-    MOST = 8  # processes at once; two are usual, three while one upgrade follows another
+    MAX_PROCESSES = 8  # two are usual, three while one upgrade follows another
 
     def __init__(self, folder: str, node: str) -> None:
-        self.paths = [Path(folder) / f"{_key(node)}.process-{number}" for number in range(self.MOST)]
-        self.own: tuple[int, int] | None = None  # the number of this process's place, and its descriptor
-
-    def take(self, phase: Phase, used: int) -> None:
-        """Tells the others how far this one is; the first time it takes a place that nobody holds."""
-        if self.own is None:
-            self.own = next(filter(None, map(self._lock, range(self.MOST))), None)
-        if self.own is not None:
-            os.pwrite(self.own[1], b"%-16s%-8d" % (phase.value.encode(), used), 0)
-
-    def _lock(self, number: int) -> tuple[int, int] | None:
+        self.paths = [
+            Path(folder) / f"{_file_stem(node)}.process-{slot}" for slot in range(self.MAX_PROCESSES)
+        ]
+        self.own_slot: tuple[int, int] | None = None  # number of this process's slot, and its descriptor
+
+    def announce(self, phase: Phase, descriptors: int) -> None:
+        """Publishes the state of this process; the first call claims a free slot."""
+        if self.own_slot is None:
+            self.own_slot = next(filter(None, map(self._lock, range(self.MAX_PROCESSES))), None)
+        if self.own_slot is not None:
+            os.pwrite(self.own_slot[1], b"%-16s%-8d" % (phase.value.encode(), descriptors), 0)
+
+    def _lock(self, slot: int) -> tuple[int, int] | None:
         try:
-            descriptor = os.open(self.paths[number], os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            descriptor = os.open(self.paths[slot], os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError:
-            return None  # no folder to write to: this process is alone
+            return None  # the folder is not writable: this process counts as the only one
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(descriptor)
             return None
-        return number, descriptor
+        return slot, descriptor
 
-    def others(self) -> list[Seen]:
-        return [seen for number in range(self.MOST) if (seen := self._seen(number)) is not None]
+    def others(self) -> list[ProcessStatus]:
+        """The state of every other live process of the node."""
+        return [status for slot in range(self.MAX_PROCESSES) if (status := self._read_slot(slot)) is not None]
 
-    def _seen(self, number: int) -> Seen | None:
-        """Of the process that holds this place; None if nobody else does."""
-        if self.own is not None and number == self.own[0]:
+    def _read_slot(self, slot: int) -> ProcessStatus | None:
+        """The state of the process that holds this slot; None if that is this one or none."""
+        if self.own_slot is not None and slot == self.own_slot[0]:
             return None
         try:
-            descriptor = os.open(self.paths[number], os.O_RDONLY | os.O_CLOEXEC)
+            descriptor = os.open(self.paths[slot], os.O_RDONLY | os.O_CLOEXEC)
         except OSError:
             return None
         try:
@@ -153,87 +167,100 @@
             return None
         except OSError:
             text = os.pread(descriptor, 24, 0)
-            words, used = text[:16].decode("ascii", "replace").strip(), text[16:].strip()
-            # One that has its lock and has not said how far it is has only begun.
-            phase = next((phase for phase in Phase if phase.value == words), Phase.STARTING)
-            return Seen(phase, int(used) if used.isdigit() else 0)
+            phase_text, descriptors = text[:16].decode("ascii", "replace").strip(), text[16:].strip()
+            # A process that has locked its slot and announced nothing yet has just started.
+            phase = next((phase for phase in Phase if phase.value == phase_text), Phase.STARTING)
+            return ProcessStatus(phase, int(descriptors) if descriptors.isdigit() else 0)
         finally:
             os.close(descriptor)
 
 
-class Learned(NamedTuple):
-    """What the process that takes over is to know from its first moment on."""
+class LearnedState(NamedTuple):
+    """What a process passes on to the one that takes over from it."""
+
+    ramp_starts: dict[str, float]  # start time of each backend that is still in slow start, by id
+    limit_per_backend: float = 0.0  # concurrency limit; 0 if unknown
 
-    starts: dict[str, float]  # since when each backend is ramped that still is
-    room: float = 0.0  # pushes that may be out for each backend; 0 where that is not known
 
+class LearnedStateStore:
+    """Stores the learned state on disk.
 
-class Lessons:
-    """The same on the disk. Start times may be old: they are moments of the one clock that all machines read.
-    The room holds for a short while alone."""
+    Start times stay valid, since all machines share one clock; the concurrency limit does so only briefly.
+    """
 
-    FRESH = 10.0  # seconds: about as long as a load lasts
+    MAX_AGE_SECONDS = 10.0  # of the concurrency limit: about as long as a load lasts
 
-    def __init__(self, folder: str, node: str, deployment: Deployment = ANY) -> None:
-        self.sheet = StateFile(folder, node, "learned", deployment)
-        self.written, self.at = Learned({}), -self.FRESH
+    def __init__(self, folder: str, node: str, deployment: Deployment = ANY_DEPLOYMENT) -> None:
+        self.file = StateFile(folder, node, "learned", deployment)
+        self.saved, self.saved_at = LearnedState({}), -self.MAX_AGE_SECONDS
 
-    def load(self, now: float) -> Learned:
+    def load(self, now: float) -> LearnedState:
+        """Reads what is there; `now`: Unix time in seconds."""
         starts: dict[str, float] = {}
-        told, room = self.sheet.read() or {}, 0.0
+        content, limit = self.file.read() or {}, 0.0
         with suppress(MalformedError):
-            for line in get_objects(told, "starts"):
+            for line in get_objects(content, "starts"):
                 starts[get_field(line, "id", str)] = get_field(line, "at", float)
-            if 0.0 <= now - get_field(told, "at", float, 0.0) < self.FRESH:
-                room = max(get_field(told, "room", float, 0.0), 0.0)
-        return Learned(starts, room)
-
-    def keep(self, learned: Learned, now: float) -> None:
-        """Writes when start times change, and once a second for the room."""
-        if learned.starts != self.written.starts or now - self.at > 1.0:
-            lines = [{"id": id, "at": at} for id, at in sorted(learned.starts.items())]
-            self.sheet.write({"starts": lines, "room": round(learned.room, 3), "at": now})
-            self.written, self.at = learned, now
-
-
-class Marks:
-    """Maintenance on the disk: each id's last call. Two processes may add to it; the later call holds."""
-
-    def __init__(self, folder: str, node: str, deployment: Deployment = ANY) -> None:
-        self.sheet = StateFile(folder, node, "maintenance", deployment)
-        self.lock = self.sheet.path.with_name(f"{self.sheet.path.name}-lock")
-        self.seen: tuple[int, int] | None = None
-
-    def load(self) -> dict[str, Mark]:
-        self.seen = self.sheet.stamp()
-        told = self.sheet.read()
-        marks: dict[str, Mark] = {}
+            if 0.0 <= now - get_field(content, "at", float, 0.0) < self.MAX_AGE_SECONDS:
+                limit = max(get_field(content, "room", float, 0.0), 0.0)
+        return LearnedState(starts, limit)
+
+    def save(self, learned: LearnedState, now: float) -> None:
+        """Writes if start times changed or the last write is a second old; raises OSError."""
+        if learned.ramp_starts != self.saved.ramp_starts or now - self.saved_at > 1.0:
+            lines = [{"id": id, "at": at} for id, at in sorted(learned.ramp_starts.items())]
+            self.file.write({"starts": lines, "room": round(learned.limit_per_backend, 3), "at": now})
+            self.saved, self.saved_at = learned, now
+
+
+class MaintenanceStore:
+    """Stores the last maintenance call for each id on disk.
+
+    Several processes may write to it; the later call wins.
+    """
+
+    def __init__(self, folder: str, node: str, deployment: Deployment = ANY_DEPLOYMENT) -> None:
+        self.file = StateFile(folder, node, "maintenance", deployment)
+        self.lock_path = self.file.path.with_name(f"{self.file.path.name}-lock")
+        self.loaded_fingerprint: tuple[int, int] | None = None
+
+    def load(self) -> dict[str, MaintenanceMark]:
+        """The stored marks by backend id."""
+        self.loaded_fingerprint = self.file.fingerprint()
+        content = self.file.read()
+        marks: dict[str, MaintenanceMark] = {}
         with suppress(MalformedError):
-            for line in get_objects(told or {}, "marks"):
-                marks[get_field(line, "id", str)] = Mark(
+            for line in get_objects(content or {}, "marks"):
+                marks[get_field(line, "id", str)] = MaintenanceMark(
                     get_field(line, "out", bool), get_field(line, "at", float)
                 )
         return marks
 
-    def news(self) -> dict[str, Mark]:
-        """What stands there, if that has changed since it was last read."""
-        return self.load() if self.sheet.stamp() != self.seen else {}
+    def load_if_changed(self) -> dict[str, MaintenanceMark]:
+        """The stored marks if the file has changed since it was last read, else none."""
+        return self.load() if self.file.fingerprint() != self.loaded_fingerprint else {}
 
-    def add(self, marks: dict[str, Mark]) -> None:
-        with self._alone():
-            held = self.load()
+    def merge(self, marks: dict[str, MaintenanceMark]) -> None:
+        """Adds the marks that are later than the stored ones; raises OSError."""
+        with self._locked():
+            stored = self.load()
             for id, mark in marks.items():
-                if id not in held or mark.at > held[id].at:
-                    held[id] = mark
-            self.sheet.write(
-                {"marks": [{"id": id, "out": m.out, "at": m.at} for id, m in sorted(held.items())]}
+                if id not in stored or mark.set_at > stored[id].set_at:
+                    stored[id] = mark
+            self.file.write(
+                {
+                    "marks": [
+                        {"id": id, "out": mark.out_of_service, "at": mark.set_at}
+                        for id, mark in sorted(stored.items())
+                    ]
+                }
             )
 
     @contextmanager
-    def _alone(self) -> Iterator[None]:
-        descriptor = os.open(self.lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+    def _locked(self) -> Iterator[None]:
+        descriptor = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(descriptor, fcntl.LOCK_EX)  # held for one small write, never for longer
+            fcntl.flock(descriptor, fcntl.LOCK_EX)  # held for one small write only
             yield
         finally:
             os.close(descriptor)
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -150,7 +150,9 @@
         if exchange.invocation.id in self.exchanges:
             return False
         self.exchanges[exchange.invocation.id] = exchange
-        left = self._time_left(exchange.time_budget + self.MAX_UPLOAD_SECONDS * exchange.body_incoming, exchange.unread_seconds)
+        left = self._time_left(
+            exchange.time_budget + self.MAX_UPLOAD_SECONDS * exchange.body_incoming, exchange.unread_seconds
+        )
         self._dispatch_for(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
         return True
 
@@ -210,7 +212,9 @@
             self._deliver(exchange, answer)
         duration = self.clock() - sent
         id = exchange.invocation.id
-        self._dispatch_for(exchange, self.node.on_push_ended, id, number, outcome, duration, exchange.finished)
+        self._dispatch_for(
+            exchange, self.node.on_push_ended, id, number, outcome, duration, exchange.finished
+        )
 
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
         self._dispatch(self.node.on_probe_ended, backend, outcome, report)
--- a/thornladder/node/maintenance.py
+++ b/thornladder/node/maintenance.py
@@ -1,7 +1,8 @@
-"""Which backends are out by hand, laid over all that discovery tells. No I/O.
+"""Backends that operators take out of service by hand, overlaid on the list of discovery. No I/O.
 
-An id that is out is listed as draining whatever discovery says. One that is back has the call's moment as its
-start time, or a later one: staff restart what they take out, so it ramps and is held to the cold rule.
+A backend that is out of service is listed as draining whatever discovery says. Operators restart what they
+take out, so one that is put back gets the time of that call as its start time, unless its own is later: it
+goes through slow start.
 """
 
 from __future__ import annotations
@@ -13,31 +14,38 @@
 from thornladder.settings import Address
 
 
-class Mark(NamedTuple):
-    """The last call for one backend."""
+class MaintenanceMark(NamedTuple):
+    """The last maintenance call for one backend."""
 
-    out: bool
-    at: float  # Unix time of the call, seconds
+    out_of_service: bool
+    set_at: float  # Unix time of the call, seconds
 
 
 class Maintenance:
-    REMEMBER = 3600.0  # seconds that an id off the list stays known, and that a return is remembered
+    """Applies maintenance marks to endpoint lists; knows the last list of discovery."""
 
-    def __init__(self, marks: dict[str, Mark] | None = None) -> None:
-        self.marks: dict[str, Mark] = dict(marks or {})
-        self.entries: dict[str, Entry] = {}  # as discovery last told
+    RETENTION_SECONDS = 3600.0  # for ids that left the list, and for marks of backends put back
+
+    def __init__(self, marks: dict[str, MaintenanceMark] | None = None) -> None:
+        self.marks: dict[str, MaintenanceMark] = dict(marks or {})  # by id
+        self.entries: dict[str, Entry] = {}  # as discovery listed them last
         self.addresses: dict[str, Address] = {}
-        self.left: dict[str, float] = {}  # ids that are off the list, and since when
+        self.removed_at: dict[str, float] = {}  # ids that left the list, with the time
 
     @property
-    def out(self) -> list[str]:
-        return sorted(id for id, mark in self.marks.items() if mark.out)
+    def out_of_service(self) -> list[str]:
+        return sorted(id for id, mark in self.marks.items() if mark.out_of_service)
 
     def knows(self, id: str) -> bool:
-        return id in self.entries or id in self.left or (id in self.marks and self.marks[id].out)
+        """Whether the id is listed, was listed lately, or is out of service."""
+        return (
+            id in self.entries
+            or id in self.removed_at
+            or (id in self.marks and self.marks[id].out_of_service)
+        )
 
-    def lay(self, answer: DiscoveryResponse, now: float) -> DiscoveryResponse:
-        """The same news as the node is to hear it."""
+    def apply(self, answer: DiscoveryResponse, now: float) -> DiscoveryResponse:
+        """Records a response of discovery and returns it with the marks applied; `now` is Unix time."""
         listed = {entry.backend for entry in answer.entries}
         gone = {entry.backend for entry in answer.entries if entry.state is State.GONE}
         if answer.kind is not ListKind.DELTA:
@@ -45,53 +53,59 @@
         for entry in answer.entries:
             if entry.state is not State.GONE:
                 self.entries[entry.backend] = entry
-                self.left.pop(entry.backend, None)
+                self.removed_at.pop(entry.backend, None)
         for id in gone:
             self.entries.pop(id, None)
-            self.left.setdefault(id, now)
+            self.removed_at.setdefault(id, now)
         self.addresses.update(answer.addresses)
-        self._forget(now)
+        self._expire(now)
         return DiscoveryResponse(
-            answer.version, answer.kind, [self._laid(each) for each in answer.entries], answer.addresses
+            answer.version, answer.kind, [self._overlay(entry) for entry in answer.entries], answer.addresses
         )
 
-    def set(self, marks: dict[str, Mark]) -> DiscoveryResponse | None:
-        """Takes in later calls, each by its moment; what changes for the node, if anything does."""
+    def update(self, marks: dict[str, MaintenanceMark]) -> DiscoveryResponse | None:
+        """Takes the marks that are later than the known ones; returns the entries that change, or None."""
         entries: list[Entry] = []
         for id, mark in marks.items():
             before = self.marks.get(id)
-            if before is not None and before.at >= mark.at:
+            if before is not None and before.set_at >= mark.set_at:
                 continue
             self.marks[id] = mark
-            # Out twice is out, and back again what was never out is no return.
-            if mark.out != (before is not None and before.out) and id in self.entries:
-                entries.append(self._laid(self.entries[id]))
+            # Only a real change counts: a backend that was in service is not put back, so it does not ramp.
+            if mark.out_of_service != (before is not None and before.out_of_service) and id in self.entries:
+                entries.append(self._overlay(self.entries[id]))
         if not entries:
             return None
-        places = {
-            each.backend: self.addresses[each.backend] for each in entries if each.backend in self.addresses
+        addresses = {
+            entry.backend: self.addresses[entry.backend]
+            for entry in entries
+            if entry.backend in self.addresses
         }
-        return DiscoveryResponse(None, ListKind.DELTA, entries, places)
+        return DiscoveryResponse(None, ListKind.DELTA, entries, addresses)
 
-    def warm_from(self, starts: dict[str, float], now: float) -> None:
-        """Start times that another process of this node has seen, for ids whose own are older or not told."""
-        for id, at in starts.items():
-            # A moment that is yet to come is of another clock than this one.
-            mark = self.marks.get(id, Mark(False, 0.0))
-            if not mark.out and now - self.REMEMBER < at <= now:
-                self.marks[id] = Mark(False, max(at, mark.at))
+    def restore_ramp_starts(self, starts: dict[str, float], now: float) -> None:
+        """Takes start times from another process of this node, for ids whose own are older or unknown."""
+        for id, started_at in starts.items():
+            # A time in the future comes from a clock that differs from this one.
+            mark = self.marks.get(id, MaintenanceMark(False, 0.0))
+            if not mark.out_of_service and now - self.RETENTION_SECONDS < started_at <= now:
+                self.marks[id] = MaintenanceMark(False, max(started_at, mark.set_at))
 
-    def _laid(self, entry: Entry) -> Entry:
+    def _overlay(self, entry: Entry) -> Entry:
         mark = self.marks.get(entry.backend)
         if mark is None or entry.state is not State.RUNNING:
             return entry
-        if mark.out:
+        if mark.out_of_service:
             return entry._replace(state=State.DRAINING)
-        return entry._replace(started_at=max(entry.started_at or 0.0, mark.at))
+        return entry._replace(started_at=max(entry.started_at or 0.0, mark.set_at))
 
-    def _forget(self, now: float) -> None:
-        for id in [id for id, since in self.left.items() if now - since > self.REMEMBER]:
-            del self.left[id]
+    def _expire(self, now: float) -> None:
+        for id in [id for id, since in self.removed_at.items() if now - since > self.RETENTION_SECONDS]:
+            del self.removed_at[id]
             self.addresses.pop(id, None)
-        for id in [id for id, mark in self.marks.items() if not mark.out and now - mark.at > self.REMEMBER]:
+        for id in [
+            id
+            for id, mark in self.marks.items()
+            if not mark.out_of_service and now - mark.set_at > self.RETENTION_SECONDS
+        ]:
             del self.marks[id]
--- a/thornladder/node/operations.py
+++ b/thornladder/node/operations.py
@@ -1,4 +1,4 @@
-"""What operators may ask of a running node, carried out at once."""
+"""Carries out operators' requests to a running node: status, standby and maintenance of backends."""
 
 from __future__ import annotations
 
@@ -9,50 +9,54 @@
 from thornladder.node.clients.front import Front
 from thornladder.node.companion import ExtensionEndpoint
 from thornladder.node.host import NodeHost
-from thornladder.node.maintenance import Mark
+from thornladder.node.maintenance import MaintenanceMark
 
-NOTHING: Mapping[str, ExtensionEndpoint] = {}
+NO_ENDPOINTS: Mapping[str, ExtensionEndpoint] = {}
 
 
 class Operations:
+    """Handler of the admin server; every request is carried out at once."""
+
     def __init__(
         self,
         host: NodeHost,
         front: Front,
-        keep: Callable[[dict[str, Mark]], None],
+        store: Callable[[dict[str, MaintenanceMark]], None],
         log: Any,
-        further: Mapping[str, ExtensionEndpoint] = NOTHING,
+        extra_endpoints: Mapping[str, ExtensionEndpoint] = NO_ENDPOINTS,
     ) -> None:
-        """`keep` writes the marks of maintenance down; until it has, nothing is answered yes.
+        """`store` writes maintenance marks to disk; a mark that cannot be stored is refused.
 
-        `further`: calls that parts beside the node answer, by path.
+        `extra_endpoints`: endpoints of extensions by path.
         """
-        self.further = further
-        self.host, self.front, self.keep, self.log = host, front, keep, log
+        self.extra_endpoints = extra_endpoints
+        self.host, self.front, self.store, self.log = host, front, store, log
 
-    def __call__(self, call: AdminRequest) -> AdminResponse:
-        if call.endpoint is Endpoint.EXTENSION:
-            return self.further[call.path].handler(call)
-        if call.endpoint is Endpoint.STATUS:
+    def __call__(self, request: AdminRequest) -> AdminResponse:
+        if request.endpoint is Endpoint.EXTENSION:
+            return self.extra_endpoints[request.path].handler(request)
+        if request.endpoint is Endpoint.STATUS:
             return self.status()
-        if call.endpoint is Endpoint.STANDBY:
-            return self.stand_by(True)
-        if call.endpoint is Endpoint.ACTIVE:
-            return self.stand_by(False)
-        return self.mark(call.backend_id, call.endpoint is Endpoint.ENTER_MAINTENANCE)
+        if request.endpoint is Endpoint.STANDBY:
+            return self.set_standby(True)
+        if request.endpoint is Endpoint.ACTIVE:
+            return self.set_standby(False)
+        return self.set_maintenance(request.backend_id, request.endpoint is Endpoint.ENTER_MAINTENANCE)
 
     def status(self) -> AdminResponse:
+        """The state of this process; 200 if it is ready for clients, else 503."""
         ready = self.host.list_known and self.front.is_open
-        facts = {
+        payload = {
             "ready": ready, "standby": self.front.server_state.standby,
             "leaving": self.front.server_state.draining, "list_known": self.host.list_known,
             "backends": len(self.host.maintenance.entries),
-            "maintenance": self.host.maintenance.out, "connections": len(self.front.connections),
-            "in_hand": len(self.host.exchanges), "blind_since": self.host.blind_since,
+            "maintenance": self.host.maintenance.out_of_service, "connections": len(self.front.connections),
+            "in_hand": len(self.host.exchanges), "blind_since": self.host.list_stale_since,
         }  # fmt: skip
-        return AdminResponse(200 if ready else 503, facts)
+        return AdminResponse(200 if ready else 503, payload)
 
-    def stand_by(self, standby: bool) -> AdminResponse:
+    def set_standby(self, standby: bool) -> AdminResponse:
+        """Sends clients away, or takes them back; 503 while the process shuts down."""
         if self.front.server_state.draining:
             return error_response(503, "this process is leaving")
         if standby != self.front.server_state.standby:
@@ -60,19 +64,22 @@
             self.log.info("standby" if standby else "active")
         return AdminResponse(200, {"standby": standby})
 
-    def mark(self, backend: str, out: bool) -> AdminResponse:
+    def set_maintenance(self, backend: str, out_of_service: bool) -> AdminResponse:
+        """Takes a backend out of service or puts it back; 404: unknown id, 503: it could not be stored."""
         maintenance = self.host.maintenance
         if not maintenance.knows(backend):
             return error_response(404, "no such backend")
         before = maintenance.marks.get(backend)
-        if out != (before is not None and before.out):
+        if out_of_service != (before is not None and before.out_of_service):
             now = self.host.clock()
-            mark = Mark(out, max(now, before.at + 1e-6) if before else now)
+            mark = MaintenanceMark(out_of_service, max(now, before.set_at + 1e-6) if before else now)
             try:
-                self.keep({backend: mark})
+                self.store({backend: mark})
             except OSError as error:
-                self.log.warning("maintenance could not be written down", error=repr(error))
+                self.log.warning("the maintenance state could not be written", error=repr(error))
                 return error_response(503, "it could not be written down")
-            self.host.mark({backend: mark})
-            self.log.info("out for maintenance" if out else "back from maintenance", backend=backend)
-        return AdminResponse(200, {"host": backend, "maintenance": out})
+            self.host.apply_maintenance({backend: mark})
+            self.log.info(
+                "out for maintenance" if out_of_service else "back from maintenance", backend=backend
+            )
+        return AdminResponse(200, {"host": backend, "maintenance": out_of_service})
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -1,4 +1,4 @@
-"""Puts a node together and runs it until it is told to end."""
+"""Assembles the parts of a node and runs them until the process is told to exit."""
 
 from __future__ import annotations
 
@@ -21,7 +21,15 @@
 from thornladder.node.clients.front import Front
 from thornladder.node.companion import NodeContext, NodeExtension
 from thornladder.node.discovery.watch import Watch
-from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Phase, Places, Seen
+from thornladder.node.handover import (
+    Deployment,
+    LearnedState,
+    LearnedStateStore,
+    MaintenanceStore,
+    Phase,
+    ProcessRegistry,
+    ProcessStatus,
+)
 from thornladder.node.host import Clock, NodeHost
 from thornladder.node.maintenance import Maintenance
 from thornladder.node.messages import DiscoveryResponse
@@ -30,76 +38,102 @@
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Config
 
-LAST_WORD = 0.2  # seconds for a part beside the node to tell others: well within what an end may take
-SWEEP = 0.15  # seconds between looks at connections: a trickle that may take 2.6 s ends within 3
-SPARE = 24  # descriptors for all but connections of clients and to backends: a dozen, and as many to spare
-LARGE_BODIES = 4  # of the memory for large bodies on their way, a fixed cost each (`flow.BODY_PIPE_BYTES`)
-ASKING = 1.0 / 3.0  # of all descriptors: as many connections clients have at most to ask on
-CLIENTS = 0.6  # of the rest are for clients: an invocation holds one, and seldom more than one to a backend
+EXTENSION_STOP_SECONDS = 0.2  # for an extension to tell other nodes; well within the time to shut down
+SWEEP_SECONDS = 0.15  # between sweeps: a client that may trickle a request for 2.6 s is closed within 3 s
+RESERVED_DESCRIPTORS = 24  # a dozen are neither client nor backend connections, and as many are spare
+BODY_MEMORY_DIVISOR = 4  # part of the memory for streamed bodies, a fixed cost each (`flow.BODY_PIPE_BYTES`)
+CLIENT_POOL_SHARE = 1.0 / 3.0  # of all descriptors: most connections on which clients send invocations
+CLIENT_SHARE = 0.6  # of the rest: an invocation holds one, and seldom more than one to a backend
 
 
 async def run(
     config: Config,
-    known: DiscoveryResponse,
+    restored_list: DiscoveryResponse,
     log: Any,
     path: str = "",
     extensions: Sequence[NodeExtension] = (),
 ) -> None:
-    """`path` names the file that the configuration came from, to be read again on SIGHUP."""
+    """Runs a node until it has drained after SIGTERM or SIGINT.
+
+    `restored_list`: the endpoint list of the configuration file, used until discovery answers. `path`: the
+    configuration file, read again on SIGHUP. Raises OSError if an address is not available.
+    """
     clock = Clock()
     if config.inherited is None:
         listener = _listener(config.listen)
     else:
         listener = socket.socket(fileno=config.inherited)
         listener.setblocking(False)
-    second = _listener(config.admin) if config.admin else None
-    kept = SPARE + (AdminServer.DESCRIPTORS if second else 0) + sum(each.descriptors for each in extensions)
-    sockets = max(config.sockets - kept, 8)
-    clients = round(CLIENTS * sockets)
+    admin_listener = _listener(config.admin) if config.admin else None
+    reserved = (
+        RESERVED_DESCRIPTORS
+        + (AdminServer.MAX_DESCRIPTORS if admin_listener else 0)
+        + sum(extension.descriptors for extension in extensions)
+    )
+    sockets = max(config.sockets - reserved, 8)
+    max_clients = round(CLIENT_SHARE * sockets)
     async with anyio.create_task_group() as group:
         tasks = Tasks(group, log)
         handover = Handover(config, log)
-        host = NodeHost(clock, tasks, log, handover.begin(clock()))
+        host = NodeHost(clock, tasks, log, handover.join(clock()))
         transport = config.transport
-        pool = Pool(sockets - clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
-        held = BodyBudget(max(config.memory // LARGE_BODIES, 2**20))
+        pool = Pool(sockets - max_clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
+        body_budget = BodyBudget(max(config.memory // BODY_MEMORY_DIVISOR, 2**20))
         reports = config.decisions["limits"].probes_per_invocation > 0.0
         pushes = PushDispatcher(
-            pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
+            pool, transport.drain_grace, transport.soft_removal, body_budget, tasks, host, clock, log, reports
         )
         watch = Watch(
-            config.discovery, known.version, tasks, host.on_list_answer, log, list_pushed=config.list_is_told
+            config.discovery,
+            restored_list.version,
+            tasks,
+            host.on_list_answer,
+            log,
+            list_pushed=config.list_is_told,
         )
         host.start(
-            pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
+            pushes,
+            watch,
+            restored_list,
+            config.seed,
+            config.list_is_told,
+            config.decisions,
+            handover.learned.limit_per_backend,
         )
         handler, shed_policy = host, host.shed_retry_after
-        for each in extensions:
-            handler, shed_policy = each.wrap(handler, shed_policy)
+        for extension in extensions:
+            handler, shed_policy = extension.wrap(handler, shed_policy)
         server_state = ServerState(
-            handler, host.node.offerings, clock, held, lambda: host.lag.is_late, shed_policy, log
+            handler, host.node.offerings, clock, body_budget, lambda: host.lag.is_late, shed_policy, log
         )
-        asking = max(round(ASKING * config.sockets), 4)
-        front = Front(server_state, clients, tasks, config.inherited is not None, asking)
-        further = {path: call for each in extensions for path, call in each.admin_endpoints().items()}
-        operations = Operations(host, front, handover.marks.add, log, further)
-        tasks.supervise("a look at idle connections", _sweep, front, pushes)
-        tasks.supervise("the handover", handover.run, host, front, pool, held)
+        client_pool_limit = max(round(CLIENT_POOL_SHARE * config.sockets), 4)
+        front = Front(server_state, max_clients, tasks, config.inherited is not None, client_pool_limit)
+        extra_endpoints = {
+            path: endpoint
+            for extension in extensions
+            for path, endpoint in extension.admin_endpoints().items()
+        }
+        operations = Operations(host, front, handover.maintenance_store.merge, log, extra_endpoints)
+        tasks.supervise("the idle connection sweep", _sweep, front, pushes)
+        tasks.supervise("the handover", handover.run, host, front, pool, body_budget)
         context = NodeContext(
             config.name, config.seed, config.folder, config.decisions["nodes"], config.admin, tasks, log,
-            partial(handover.count, host), lambda: reload.config.raw["settings"],
+            partial(handover.set_node_count, host), lambda: reload.config.raw["settings"],
         )  # fmt: skip
-        reload = Reload(path, config, Parts(host, server_state, pushes, watch, handover), log)
-        for each in extensions:
-            each.start(context)
-        await group.start(_heed_signals, front, reload, handover, tasks, log, extensions)
-        tasks.start("opening the door", _open, front, host, handover, tasks, listener)
-        if second:
-            admin = AdminServer(operations, tasks, log, {path: call.method for path, call in further.items()})
-            tasks.supervise("taking operators' calls", admin.run, second)
+        reload = ConfigReloader(path, config, ReloadTargets(host, server_state, pushes, watch, handover), log)
+        for extension in extensions:
+            extension.start(context)
+        await group.start(_handle_signals, front, reload, handover, tasks, log, extensions)
+        tasks.start("opening the listener", _start_accepting, front, host, handover, tasks, listener)
+        if admin_listener:
+            admin = AdminServer(
+                operations, tasks, log, {path: endpoint.method for path, endpoint in extra_endpoints.items()}
+            )
+            tasks.supervise("the admin server", admin.run, admin_listener)
         log.info(
-            "serving", name=config.name, listen=list(listener.getsockname()), backends=len(known.entries),
-            cores=config.cores, sockets=config.sockets, admin=list(second.getsockname()) if second else None,
+            "serving", name=config.name, listen=list(listener.getsockname()),
+            backends=len(restored_list.entries), cores=config.cores, sockets=config.sockets,
+            admin=list(admin_listener.getsockname()) if admin_listener else None,
         )  # fmt: skip
 
 
@@ -109,122 +143,144 @@
     return listener
 
 
-async def _open(
+async def _start_accepting(
     front: Front, host: NodeHost, handover: Handover, tasks: Tasks, listener: socket.socket
 ) -> None:
-    """Beside a process that serves, clients are taken only once this one knows what that one does."""
-    while handover.beside and not host.list_known:
+    """Accepts clients; beside another process of the node only once this one knows the endpoint list."""
+    while handover.other_processes and not host.list_known:
         await anyio.sleep(0.02)
     if front.server_state.draining:
         return
     handover.phase = Phase.SERVING
-    handover.look(host)
+    handover.sync(host)
     tasks.supervise("accepting", front.run, listener)
 
 
 class Handover:
-    """What this process shares with others of its node: limits while they live, and what has to go on."""
+    """Coordinates this process with others of its node, as during an upgrade without downtime.
+
+    While several run, they divide the node's limits. Learned state and maintenance state pass from one to
+    the next through files.
+    """
 
-    LOOK = 0.2  # seconds between looks at the others and at what they wrote: a fifth of what a call may take
+    SYNC_SECONDS = 0.2  # between reads of the other processes' state: a fifth of what an admin call may take
 
     def __init__(self, config: Config, log: Any) -> None:
         self.decisions, self.log = config.decisions, log
         deployment = Deployment.of(config.decisions)
-        self.marks = Marks(config.folder, config.name, deployment)
-        self.lessons, self.learned = Lessons(config.folder, config.name, deployment), Learned({})
-        self.places = Places(config.folder, config.name)
+        self.maintenance_store = MaintenanceStore(config.folder, config.name, deployment)
+        self.learned_store, self.learned = (
+            LearnedStateStore(config.folder, config.name, deployment),
+            LearnedState({}),
+        )
+        self.registry = ProcessRegistry(config.folder, config.name)
         self.phase = Phase.STARTING
-        self.beside: list[Seen] = []  # other processes of this node
-        self.used = 0  # descriptors
-        self.whole: tuple[int, int, int] | None = None  # of clients, to backends; bytes: of the whole node
-        self.nodes: int | None = None  # as counted; None: as the settings say
-        self.serving = 1  # processes of it that take clients or have some, this one among them
-
-    def begin(self, now: float) -> Maintenance:
-        """Takes a place, and what stands written."""
-        self.places.take(self.phase, self.used)
-        self.beside = self.places.others()
-        maintenance = Maintenance(self.marks.load())
-        self.learned = self.lessons.load(now)
-        maintenance.warm_from(self.learned.starts, now)
-        if self.marks.sheet.foreign or self.lessons.sheet.foreign:
-            self.log.warning("the folder holds another deployment's files, which are not used")
+        self.other_processes: list[ProcessStatus] = []
+        self.descriptors_used = 0
+        # Of the whole node: client connections, backend connections, bytes for streamed bodies.
+        self.node_limits: tuple[int, int, int] | None = None
+        self.node_count: int | None = None  # reported by an extension; None: the settings hold
+        self.active_count = (
+            1  # processes of the node that accept clients or still have some, this one included
+        )
+
+    def join(self, now: float) -> Maintenance:
+        """Registers this process and returns the stored maintenance state; `now`: Unix time in seconds."""
+        self.registry.announce(self.phase, self.descriptors_used)
+        self.other_processes = self.registry.others()
+        maintenance = Maintenance(self.maintenance_store.load())
+        self.learned = self.learned_store.load(now)
+        maintenance.restore_ramp_starts(self.learned.ramp_starts, now)
+        if self.maintenance_store.file.is_foreign or self.learned_store.file.is_foreign:
+            self.log.warning("ignoring the state files of another deployment in this folder")
         return maintenance
 
-    async def run(self, host: NodeHost, front: Front, pool: Pool, held: BodyBudget) -> None:
-        # As it was at the start: after an error this begins anew.
-        self.whole = self.whole or (front.max_connections, pool.max_connections, held.limit)
-        clients, backends, memory = self.whole
+    async def run(self, host: NodeHost, front: Front, pool: Pool, body_budget: BodyBudget) -> None:
+        """Synchronizes with the other processes and divides the limits, for as long as the node runs."""
+        # The limits as of the start: after an error this task begins anew, when they may have been divided.
+        self.node_limits = self.node_limits or (
+            front.max_connections,
+            pool.max_connections,
+            body_budget.limit,
+        )
+        max_clients, max_backends, memory = self.node_limits
         while True:
-            self.used = front.connection_count + pool.open_connections
-            self.look(host)
-            # Descriptors and memory are one node's, whoever serves. Guards against connections closed, and
-            # others left unread, when one that serves is cut to a half and the other holds next to nothing.
-            parts = 1 + len(self.beside)
-            others = sum(seen.used + SPARE for seen in self.beside)
-            spare = max(clients + backends - self.used - others, 0) // parts
-            front.max_connections = min(clients, max(front.connection_count + round(CLIENTS * spare), 4))
+            self.descriptors_used = front.connection_count + pool.open_connections
+            self.sync(host)
+            # The processes of a node share its descriptors and memory. Only free descriptors are divided:
+            # with half of all of them, the serving process would close connections and leave others unread,
+            # while the other one uses next to none.
+            process_count = 1 + len(self.other_processes)
+            used_by_others = sum(other.descriptors + RESERVED_DESCRIPTORS for other in self.other_processes)
+            free = (
+                max(max_clients + max_backends - self.descriptors_used - used_by_others, 0) // process_count
+            )
+            front.max_connections = min(
+                max_clients, max(front.connection_count + round(CLIENT_SHARE * free), 4)
+            )
             pool.max_connections = min(
-                backends, max(pool.open_connections + round((1.0 - CLIENTS) * spare), 4)
+                max_backends, max(pool.open_connections + round((1.0 - CLIENT_SHARE) * free), 4)
             )
-            held.limit = memory // parts
-            await anyio.sleep(self.LOOK)
+            body_budget.limit = memory // process_count
+            await anyio.sleep(self.SYNC_SECONDS)
 
-    def leave(self, front: Front) -> None:
-        """Who else serves as this one leaves decides whether the node is still ready."""
+    def announce_leaving(self, front: Front) -> None:
+        """Marks this process as leaving; the node stays ready if another process of it serves."""
         self.phase = Phase.LEAVING
         front.server_state.has_successor = front.listener_is_shared and any(
-            seen.phase is Phase.SERVING for seen in self.places.others()
+            other.phase is Phase.SERVING for other in self.registry.others()
         )
 
-    def retune(self, decisions: dict[str, Any], host: NodeHost) -> None:
+    def update_settings(self, decisions: dict[str, Any], host: NodeHost) -> None:
+        """Applies new decision settings; files are written under their deployment from now on."""
         self.decisions = decisions
-        # What is written from now on is under these; what stands written was this node's and goes on.
-        self.marks.sheet.deployment = self.lessons.sheet.deployment = Deployment.of(decisions)
-        self._settle(host)
-
-    def count(self, host: NodeHost, nodes: int) -> None:
-        """From now on this is one of so many nodes, whatever the settings say."""
-        if nodes != self.nodes:
-            self.nodes = nodes
-            self._settle(host)
-
-    def _settle(self, host: NodeHost) -> None:
-        counted = {} if self.nodes is None else {"nodes": self.nodes}
-        host.settle({**self.decisions, **counted}, self.serving)
-
-    def look(self, host: NodeHost) -> None:
-        self.places.take(self.phase, self.used)
-        beside = self.places.others()
-        phases = [seen.phase for seen in beside]
-        if phases != [seen.phase for seen in self.beside]:
-            self.log.info("beside other processes", phases=[phase.value for phase in phases])
-        self.beside = beside
-        serving = 1 + sum(phase is not Phase.STARTING for phase in phases)
-        if serving != self.serving:
-            self.serving = serving
-            self._settle(host)
-        host.mark(self.marks.news())
+        # Files that were written under the old settings are this node's own and stay in use.
+        self.maintenance_store.file.deployment = self.learned_store.file.deployment = Deployment.of(decisions)
+        self._apply_settings(host)
+
+    def set_node_count(self, host: NodeHost, nodes: int) -> None:
+        """Overrides the number of nodes that the settings give."""
+        if nodes != self.node_count:
+            self.node_count = nodes
+            self._apply_settings(host)
+
+    def _apply_settings(self, host: NodeHost) -> None:
+        overrides = {} if self.node_count is None else {"nodes": self.node_count}
+        host.update_settings({**self.decisions, **overrides}, self.active_count)
+
+    def sync(self, host: NodeHost) -> None:
+        """Announces this process, reads the state of the others and applies what changed."""
+        self.registry.announce(self.phase, self.descriptors_used)
+        other_processes = self.registry.others()
+        phases = [other.phase for other in other_processes]
+        if phases != [other.phase for other in self.other_processes]:
+            self.log.info("other processes of this node changed", phases=[phase.value for phase in phases])
+        self.other_processes = other_processes
+        active_count = 1 + sum(phase is not Phase.STARTING for phase in phases)
+        if active_count != self.active_count:
+            self.active_count = active_count
+            self._apply_settings(host)
+        host.apply_maintenance(self.maintenance_store.load_if_changed())
         if self.phase is Phase.SERVING:
-            # What it learns of the room beside another says little: the two share a core, and are late.
-            room = host.room if not beside else self.learned.room
-            self.learned = Learned(host.starts, room)
+            # A limit learned beside another process says little: the two share a CPU core and lag.
+            limit = host.limit_per_backend if not other_processes else self.learned.limit_per_backend
+            self.learned = LearnedState(host.ramp_starts, limit)
             try:
-                self.lessons.keep(self.learned, host.clock())
+                self.learned_store.save(self.learned, host.clock())
             except OSError as error:
-                self.log.warning("what was learned could not be written down", error=repr(error))
+                self.log.warning("the learned state could not be written", error=repr(error))
 
 
 async def _sweep(front: Front, pushes: PushDispatcher) -> None:
     while True:
-        await anyio.sleep(SWEEP)
+        await anyio.sleep(SWEEP_SECONDS)
         front.sweep()
         pushes.forget_departed()
         await pushes.pool.close_expired()
 
 
-class Parts(NamedTuple):
-    """What a new configuration concerns."""
+class ReloadTargets(NamedTuple):
+    """The parts of a node that a new configuration changes."""
 
     host: NodeHost
     server_state: ServerState
@@ -233,11 +289,14 @@
     handover: Handover
 
 
-class Reload:
-    """Reads the configuration again: where discovery is and the settings can change while the node runs."""
+class ConfigReloader:
+    """Reads the configuration file again and applies the settings and the address of discovery.
 
-    def __init__(self, path: str, config: Config, parts: Parts, log: Any) -> None:
-        self.path, self.config, self.parts, self.log = path, config, parts, log
+    Everything else needs a restart. A malformed file is logged and changes nothing.
+    """
+
+    def __init__(self, path: str, config: Config, targets: ReloadTargets, log: Any) -> None:
+        self.path, self.config, self.targets, self.log = path, config, targets, log
 
     def __call__(self) -> None:
         try:
@@ -248,28 +307,30 @@
             self.log.warning("the new configuration is bad, the old one stays", error=str(error))
             return
         if config.raw["settings"] != self.config.raw["settings"]:
-            self._retune(config)
-        self.parts.watch.move(config.discovery)
-        # The list, the seed and the name are for a start alone.
-        told = replace(config, known=self.config.known, seed=self.config.seed, name=self.config.name)
-        taken = {"discovery", "raw", "decisions", "transport", "admin", "inherited", "folder"}
-        names = {each.name for each in fields(Config)} - taken
-        later = sorted(name for name in names if getattr(told, name) != getattr(self.config, name))
-        self.log.info("configuration read again", discovery=list(config.discovery), at_restart=later)
+            self._apply_settings(config)
+        self.targets.watch.move(config.discovery)
+        # The list, the seed and the name are used at the start alone, so that changes of them do not matter.
+        compared = replace(config, known=self.config.known, seed=self.config.seed, name=self.config.name)
+        reloaded = {"discovery", "raw", "decisions", "transport", "admin", "inherited", "folder"}
+        names = {field.name for field in fields(Config)} - reloaded
+        needs_restart = sorted(
+            name for name in names if getattr(compared, name) != getattr(self.config, name)
+        )
+        self.log.info("configuration reloaded", discovery=list(config.discovery), at_restart=needs_restart)
         self.config = replace(self.config, raw=config.raw)
 
-    def _retune(self, config: Config) -> None:
-        host, server_state, pushes, _, handover = self.parts
-        handover.retune(config.decisions, host)
+    def _apply_settings(self, config: Config) -> None:
+        host, server_state, pushes, _, handover = self.targets
+        handover.update_settings(config.decisions, host)
         server_state.set_offerings(host.node.offerings)
         pushes.drain_grace, pushes.soft_removal = config.transport.drain_grace, config.transport.soft_removal
         pushes.pool.set_timeouts(config.transport.backend_idle_timeout, config.transport.connect_timeout)
-        self.log.info("settings taken", offerings=sorted(host.node.offerings))
+        self.log.info("settings applied", offerings=sorted(host.node.offerings))
 
 
-async def _heed_signals(
+async def _handle_signals(
     front: Front,
-    reload: Reload,
+    reload: ConfigReloader,
     handover: Handover,
     tasks: Tasks,
     log: Any,
@@ -281,25 +342,25 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
         task_status.started()
-        async for number in signals:
-            if number is signal.SIGHUP:
+        async for signal_number in signals:
+            if signal_number is signal.SIGHUP:
                 try:
                     reload()
                 except Exception:
-                    log.exception("reading the configuration again failed")
+                    log.exception("reloading the configuration failed")
             elif not leaving:
                 leaving = True
-                handover.leave(front)
-                log.info("leaving", signal=number.name)
-                tasks.start("leaving", _leave, front, tasks, log, extensions)
+                handover.announce_leaving(front)
+                log.info("leaving", signal=signal_number.name)
+                tasks.start("leaving", _shut_down, front, tasks, log, extensions)
 
 
-async def _leave(front: Front, tasks: Tasks, log: Any, extensions: Sequence[NodeExtension]) -> None:
+async def _shut_down(front: Front, tasks: Tasks, log: Any, extensions: Sequence[NodeExtension]) -> None:
     try:
         await front.drain()
-        for each in extensions:
-            with anyio.move_on_after(LAST_WORD):
-                await each.stop(front.server_state.has_successor)
+        for extension in extensions:
+            with anyio.move_on_after(EXTENSION_STOP_SECONDS):
+                await extension.stop(front.server_state.has_successor)
         log.info("left")
     finally:
         tasks.cancel_all()
