--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -186,7 +186,7 @@
 
     async with Bank(done) as bank:
         found: list[ClientConnection] = []
-        left = ClientConnection._left
+        left = ClientConnection._client_left
 
         def looked(connection: ClientConnection) -> bool:
             found.append(connection)
@@ -197,5 +197,5 @@
                     patch.setattr(streams, "raw_socket", fails)
                 return left(connection)
 
-        monkeypatch.setattr(ClientConnection, "_left", looked)
+        monkeypatch.setattr(ClientConnection, "_client_left", looked)
         assert (await bank.ask("aa", "look")).target == "200" and found
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -213,7 +213,7 @@
 
 
 async def test_a_backend_that_takes_nothing_more_ends_its_push(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ClientConnection, "UNTAKEN", 0.3)
+    monkeypatch.setattr(ClientConnection, "UPLOAD_STALL_SECONDS", 0.3)
     async with Bank(lambda _: reply(200)) as bank, anyio.create_task_group() as tasks:
         with socket.create_server(("127.0.0.1", 0)) as deaf:  # accepted by its kernel, never read
             news_of = news(2, listed(0, deaf.getsockname()[1]))
@@ -238,7 +238,7 @@
 
 
 async def test_a_trickle_ends_and_a_slow_sender_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ClientConnection, "WHOLE", 0.4)
+    monkeypatch.setattr(ClientConnection, "RECEIVE_TIMEOUT_SECONDS", 0.4)
     async with Bank(lambda _: reply(200)) as bank:
         trickle, steady = await bank.client(), await bank.client()
         await trickle.stream.send(head("a", "Content-Length: 400000") + BODY[:70_000])
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -151,7 +151,7 @@
         client.sendall(sent)
         if leaves:
             client.close()
-        assert Front._first(Front(None, 1, None), taken) == first
+        assert Front._read_initial(Front(None, 1, None), taken) == first
 
 
 def test_the_kernel_tells_how_long_bytes_lay_unread() -> None:
@@ -176,7 +176,7 @@
     def arrive(self, data) -> None:
         received(self, data)
         for connection in seen:
-            connection.close_idle()  # as a look at all connections would at this very moment
+            connection.close_if_idle()  # as a look at all connections would at this very moment
 
     monkeypatch.setattr(ClientConnection, "serve", serve)
     async with Bank(done) as bank:
@@ -188,7 +188,7 @@
             await anyio.sleep(0.31)  # longer than a look grants after an answer
             assert (await client.ask(f"a{number}", "look")).target == "200"
         monkeypatch.undo()
-        [connection] = [each for each in seen if each.spoken]
-        connection.close_idle()
+        [connection] = [each for each in seen if each.received_message]
+        connection.close_if_idle()
         with pytest.raises(anyio.EndOfStream), anyio.fail_after(1.0):
             await client.stream.receive()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -205,7 +205,7 @@
 
 async def test_half_an_invocation_is_told_so_and_silence_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Was kept for 15 and 120 s, also while a byte now and then trickled in.
-    monkeypatch.setattr(ClientConnection, "WHOLE", 0.3)
+    monkeypatch.setattr(ClientConnection, "RECEIVE_TIMEOUT_SECONDS", 0.3)
     async with Bank(done) as bank:
         silent, half, usual = await bank.client(), await bank.client(), await bank.client()
         assert (await usual.ask("aa", "look")).target == "200"
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -159,8 +159,8 @@
 
 
 async def test_standby_sends_clients_away_and_active_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Front, "AWAY", 0.4)
-    monkeypatch.setattr(Front, "QUIET_FIRST", 0.1)
+    monkeypatch.setattr(Front, "STANDBY_GRACE_SECONDS", 0.4)
+    monkeypatch.setattr(Front, "STANDBY_IDLE_SECONDS", 0.1)
     async with Bank(lambda got: None if got.target == "/look" else reply(200)) as bank:
         idle, used, busy = [await bank.client() for _ in range(3)]
         assert (await idle.ask("a0", "pay", body=b"x")).headers.get("connection") is None
--- a/thornladder/node/clients/__init__.py
+++ b/thornladder/node/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: the listening socket, clients' connections and what is answered on them."""
+"""The clients' side of a node: its listening socket, client connections and the responses sent on them."""
--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: invocations come in one after the other and are answered in that order."""
+"""A client's HTTP/1.1 connection: receives invocations one at a time and answers them in order."""
 
 from __future__ import annotations
 
@@ -20,461 +20,514 @@
 
 
 class InvocationHandler(Protocol):
-    """Who takes what comes in."""
+    """Receives the invocations that clients send and the events that concern them."""
 
-    def start_invocation(self, exchange: Exchange) -> bool: ...
+    def start_invocation(self, exchange: Exchange) -> bool:
+        """Starts an invocation; returns False if one with the same id is in flight."""
+        ...
 
-    def body_received(self, exchange: Exchange) -> None: ...
+    def body_received(self, exchange: Exchange) -> None:
+        """The last byte of a streamed request body has been received."""
+        ...
 
-    def body_stalled(self, exchange: Exchange) -> None: ...
+    def body_stalled(self, exchange: Exchange) -> None:
+        """The backend does not read the streamed request body."""
+        ...
 
-    def client_disconnected(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None:
+        """The client has disconnected before its invocation was answered."""
+        ...
 
 
 class ServerState:
-    """What all connections share: who takes invocations, and whether the node is ready or sends them away."""
+    """State shared by all client connections: invocation handler, settings, and drain and standby status."""
 
     def __init__(
         self,
         handler: InvocationHandler,
         offerings: Mapping[str, Offering],
         clock: Callable[[], float],
-        held: BodyBudget,
-        late: Callable[[], bool],
+        body_budget: BodyBudget,
+        is_lagging: Callable[[], bool],
         shed_policy: ShedPolicy,
         log: Any,
     ) -> None:
-        self.handler, self.clock, self.held, self.log = handler, clock, held, log
-        self.late = late  # whether this node reads what has come later than it should
-        self.shed_policy, self.longest = (
-            shed_policy,
-            0.0,
-        )  # the longest cut-off of anything that may be in hand
+        self.handler, self.clock, self.body_budget, self.log = handler, clock, body_budget, log
+        self.is_lagging = is_lagging  # whether this node is late in reading what it has received
+        # `max_cut_off`: the longest cut-off, in seconds, of any invocation that may be in flight.
+        self.shed_policy, self.max_cut_off = shed_policy, 0.0
         self.set_offerings(offerings)
         self.draining = self.standby = False
-        self.has_successor = False  # another process of this node serves at the same door
+        self.has_successor = False  # another process of this node accepts on the same listening socket
 
     @property
     def ready(self) -> bool:
-        """Whether this node is, be it by another process.
+        """Whether this node accepts invocations, possibly through another of its processes.
 
-        Guards against a front that turns from a node because the one that leaves says so.
+        A process that drains with a successor reports ready: otherwise a front would take the whole node out
+        of rotation.
         """
-        return not self.closing or (self.draining and self.has_successor and not self.standby)
+        return not self.closes_connections or (self.draining and self.has_successor and not self.standby)
 
     def set_offerings(self, offerings: Mapping[str, Offering]) -> None:
-        """What comes from now on is of one of these; what is in hand is not touched."""
+        """Replaces the offerings for new invocations; those in flight keep theirs."""
         self.offerings, self.early_shedder = offerings, EarlyShedder(offerings, self.shed_policy)
-        self.longest = max(self.longest, *(offering.cut_off for offering in offerings.values()))
+        self.max_cut_off = max(self.max_cut_off, *(offering.cut_off for offering in offerings.values()))
 
     @property
-    def closing(self) -> bool:
-        """Whether clients are sent away: each answer is the last on its connection."""
+    def closes_connections(self) -> bool:
+        """Whether each response is the last on its connection."""
         return self.draining or self.standby
 
 
 class ClientConnection:
-    LINGER = 0.3  # seconds for the client to read its last answer and close
-    DISCARDED = 256 * 1024  # bytes read after the last answer, so that no reset overtakes it; then no more
-    # Seconds for a head, and for a body beyond its pace; clients may take 2 s for a head.
-    WHOLE = 2.6
-    PACE = 56_000.0  # bytes a second of a body at least; clients send 64 kB/s, and in pieces
-    UNTAKEN = 5.0  # seconds for a part of a body to be taken by its backend; slow ones take one a second
-    UNREAD = 10.0  # seconds for a part of an answer to be taken; past the longest cut-off
+    """One client connection, served by a reading task and a writing task.
+
+    Requests of up to `MAX_BUFFERED_BYTES` are buffered before they are handled; larger ones are streamed to
+    the backend while they arrive.
+    """
+
+    LINGER_SECONDS = 0.3  # time for the client to read its last response and close
+    # Read and dropped after the last response, so that no reset overtakes it; past this nothing is read.
+    MAX_DISCARDED_BYTES = 256 * 1024
+    # For a request head, and for a body in addition to its minimum rate; clients may take 2 s for a head.
+    RECEIVE_TIMEOUT_SECONDS = 2.6
+    MIN_BODY_BYTES_PER_SECOND = 56_000.0  # clients send 64 kB/s, in pieces
+    UPLOAD_STALL_SECONDS = 5.0  # for a backend to take one part of a body; slow ones take one a second
+    DOWNLOAD_STALL_SECONDS = 10.0  # for a client to take part of a response; longer than any cut-off
 
     def __init__(
-        self, stream: SocketStream, server_state: ServerState, first: bytes = b"", waited: float = 0.0
+        self,
+        stream: SocketStream,
+        server_state: ServerState,
+        initial_data: bytes = b"",
+        unread_seconds: float = 0.0,
     ) -> None:
-        """`first`: what had come when it was accepted, and for how many seconds it had waited."""
+        """Creates a connection.
+
+        `initial_data` was read when the connection was accepted; `unread_seconds` is how long it had waited
+        in the kernel.
+        """
         self.stream, self.server_state = stream, server_state
-        self.first, self.waited = first, waited
+        self.initial_data, self.unread_seconds = initial_data, unread_seconds
         self.http = h11.Connection(h11.SERVER)
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self.upload: BodyPipe | None = None  # of the invocation that is coming, where that is large
-        self.discarding = False  # what is still to come of it, after its answer
-        self.coming: list[bytes] = []  # parts of it that were read and not given yet
-        self.got = 0  # bytes of its body
-        self.waits, self.asked_at = 0.0, 0.0  # seconds that this node waited for it; since when it does
-        self.download: BodyPipe | None = None  # of the answer that is going out, where that is large
-        self.counted: BodyPipe | None = None  # the upload that counts among what flows
-        self.passing = anyio.Lock()
-        self.upload_over = False  # its last byte has come
-        self.taking = True  # whether the client is awaited, and not the answer's next part
+        self.upload: BodyPipe | None = None  # of the current request, if it is streamed
+        self.discarding = False  # whether the rest of an answered request is being read and dropped
+        self.pending_parts: list[bytes] = []  # body parts read but not yet passed to `upload`
+        self.received_bytes = 0  # of the current request body
+        # Total time spent waiting for the current request, and start of the present wait (0: none).
+        self.read_wait_seconds, self.read_started_at = 0.0, 0.0
+        self.download: BodyPipe | None = None  # of the current response, if it is streamed
+        self.budgeted_upload: BodyPipe | None = None  # the upload counted against the body budget
+        self.upload_lock = anyio.Lock()
+        self.upload_received = False  # whether the last byte of the upload has been received
+        self.awaiting_client = True  # waits for the client, not for the next part of a streamed response
         self.exchange: Exchange | None = None
         self.outbox: deque[bytes] = deque()
-        self.wake = anyio.Event()
-        self.ending = False  # asked to end if it is idle
-        self.closing = False  # nothing more is read; what is in the outbox is the last
-        self.since = server_state.clock()  # when bytes last came or went
-        self.began = self.since  # when it came, or the first byte of the message that is being read
-        self.spoken = False  # a whole message came on it
+        self.write_event = anyio.Event()
+        self.close_requested = False  # to be closed if it is still idle
+        self.closing = False  # no more requests are handled; the outbox holds the last response
+        self.last_activity = server_state.clock()  # when bytes were last received or sent
+        # When it was accepted, or when the first byte of the current message was received.
+        self.message_started_at = self.last_activity
+        self.received_message = False  # whether a complete message has ever been received
         self.scope = anyio.CancelScope()
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of an invocation has been read that is not answered."""
-        unread = self.first or self.http.trailing_data[0] or self.discarding or self.download
+        """Whether no part of an unanswered request has been read."""
+        unread = self.initial_data or self.http.trailing_data[0] or self.discarding or self.download
         return self.request is None and self.exchange is None and not self.outbox and not unread
 
     @property
-    def done(self) -> bool:
-        """Whether its last answer is out."""
+    def last_response_sent(self) -> bool:
+        """Whether the connection is closing and its last response has been written."""
         return self.closing and not self.outbox and self.download is None
 
     @property
     def silent(self) -> bool:
-        """Whether not a byte has come on it yet."""
-        return self.idle and not self.spoken and not self.closing
+        """Whether the client has sent nothing yet."""
+        return self.idle and not self.received_message and not self.closing
 
     async def serve(self) -> None:
+        """Serves the connection until it ends, and closes it; errors are logged, not raised."""
         try:
             async with anyio.create_task_group() as tasks:
                 self.scope = tasks.cancel_scope
-                tasks.start_soon(self._write)
-                await self._read()
+                tasks.start_soon(self._write_loop)
+                await self._read_loop()
                 tasks.cancel_scope.cancel()
         except Exception:
             self.server_state.log.exception("a client's connection failed")
         finally:
-            self._end_upload(False)
+            self._finish_upload(False)
             if self.exchange is not None:
                 self.server_state.handler.client_disconnected(self.exchange)
             if self.download is not None:
                 self.download.abort()
             await streams.close(self.stream)
 
-    def close_idle(self) -> None:
-        """Ends an idle connection; what the client has under way it sends again on another."""
+    def close_if_idle(self) -> None:
+        """Requests the end of the connection if it is idle.
+
+        A client whose request crosses the close sends it again on another connection.
+        """
         if self.idle and not has_unread_data(self.stream):
-            self.ending = True
-            self.wake.set()
+            self.close_requested = True
+            self.write_event.set()
 
-    def _end(self) -> None:
-        """Ends it if it is idle still.
+    def _close_if_still_idle(self) -> None:
+        """Closes the connection if it is still idle.
 
-        Guards against an invocation that is lost between the kernel and the reading task, which by now has
-        had its turn.
+        Runs after the reading task has had its turn, so that no request is lost between the kernel and it.
         """
-        self.ending = False
+        self.close_requested = False
         if not self.idle or self.closing or has_unread_data(self.stream):
             return
         self.closing = True
-        if not (self.spoken and self.server_state.clock() - self.since < self.LINGER):
-            self.scope.cancel()  # no answer is on its way that a reset could overtake
+        if not (
+            self.received_message and self.server_state.clock() - self.last_activity < self.LINGER_SECONDS
+        ):
+            self.scope.cancel()  # no response is in transit that a reset could overtake
 
-    def look(self, now: float, keep: float) -> None:
-        """Ends what takes too long to come or to be read, and what has stood idle for more than `keep`."""
+    def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
+        """Ends requests and responses that take too long, and connections idle for over `idle_timeout` s."""
         if self.upload is not None or self.discarding:
-            if self._slow(now):
-                # Guards against what trickles: only the time counts in which this node waited for it.
+            if self._upload_too_slow(now):
+                # Ends slow-loris uploads; only the time that this node waited for the client counts.
                 if self.exchange is None:
                     self.scope.cancel()
                 else:
-                    self._give_up_upload(408, "it did not come whole")
+                    self._abort_upload(408, "it did not come whole")
             return
         if self.exchange is not None:
             return
         if self.outbox or self.closing or self.download is not None:
-            if now - self.since > self.UNREAD and self.taking:
+            if now - self.last_activity > self.DOWNLOAD_STALL_SECONDS and self.awaiting_client:
                 self.scope.cancel()
         elif self.idle:
-            if now - self.since > (keep if self.spoken else self.WHOLE):
-                self.close_idle()
-        elif now - self.began > self.WHOLE + len(self.body) / self.PACE:
-            # Guards against bytes that trickle in for ever: the time counts from the first.
-            self._turn_down(408, "it did not come whole")
-
-    def _slow(self, now: float) -> bool:
-        waits = self.waits + (now - self.asked_at if self.asked_at else 0.0)
-        return waits > self.WHOLE + self.got / self.PACE
-
-    async def _read(self) -> None:
+            if now - self.last_activity > (
+                idle_timeout if self.received_message else self.RECEIVE_TIMEOUT_SECONDS
+            ):
+                self.close_if_idle()
+        elif (
+            now - self.message_started_at
+            > self.RECEIVE_TIMEOUT_SECONDS + len(self.body) / self.MIN_BODY_BYTES_PER_SECOND
+        ):
+            # Ends slow-loris requests: the time counts from the first byte.
+            self._reject(408, "it did not come whole")
+
+    def _upload_too_slow(self, now: float) -> bool:
+        waited = self.read_wait_seconds + (now - self.read_started_at if self.read_started_at else 0.0)
+        return waited > self.RECEIVE_TIMEOUT_SECONDS + self.received_bytes / self.MIN_BODY_BYTES_PER_SECOND
+
+    async def _read_loop(self) -> None:
         discarded = 0
         while True:
             try:
-                self.asked_at = self.server_state.clock()
-                data = self.first or await self.stream.receive()
+                self.read_started_at = self.server_state.clock()
+                data = self.initial_data or await self.stream.receive()
             except STREAM_CLOSED_ERRORS:
                 return
             finally:
-                self.waits, self.asked_at = self.waits + self.server_state.clock() - self.asked_at, 0.0
-            asked, self.first = bool(self.first), b""  # the first was asked about when accepted
-            if not asked and self.server_state.late():
-                self.waited = streams.seconds_since_last_data(streams.raw_socket(self.stream))
+                self.read_wait_seconds, self.read_started_at = (
+                    self.read_wait_seconds + self.server_state.clock() - self.read_started_at,
+                    0.0,
+                )
+            # The shed policy was asked about the initial data when the connection was accepted.
+            checked, self.initial_data = bool(self.initial_data), b""
+            if not checked and self.server_state.is_lagging():
+                self.unread_seconds = streams.seconds_since_last_data(streams.raw_socket(self.stream))
             if self.closing:
                 discarded += len(data)
-                if discarded > self.DISCARDED:
-                    await anyio.sleep_forever()  # the writing task ends this
+                if discarded > self.MAX_DISCARDED_BYTES:
+                    await anyio.sleep_forever()  # the writing task cancels this
                 continue
-            self.since = self.server_state.clock()
-            if self.spoken and self.idle:
-                self.began, self.waits = self.since, 0.0
+            self.last_activity = self.server_state.clock()
+            if self.received_message and self.idle:
+                self.message_started_at, self.read_wait_seconds = self.last_activity, 0.0
             if self.exchange is not None and self.upload is None:
-                # Clients send one invocation at a time: more than its length said makes all of it doubtful.
+                # Clients do not pipeline: bytes past the declared length make the framing suspect.
                 exchange, self.exchange = self.exchange, None
                 self.server_state.handler.client_disconnected(exchange)
-                self._turn_down(400, "more came than one invocation")
+                self._reject(400, "more came than one invocation")
                 continue
-            if self.waited and not asked and self.idle:
-                nack = self.server_state.early_shedder.nack(data, self.waited, self.server_state.closing)
+            if self.unread_seconds and not checked and self.idle:
+                nack = self.server_state.early_shedder.nack(
+                    data, self.unread_seconds, self.server_state.closes_connections
+                )
                 if nack is not None:
-                    self.spoken, self.waited, self.closing = True, 0.0, self.server_state.closing
-                    self._put(nack)
+                    self.received_message, self.unread_seconds, self.closing = (
+                        True,
+                        0.0,
+                        self.server_state.closes_connections,
+                    )
+                    self._send(nack)
                     continue
             self.http.receive_data(data)
             if self.download is not None and len(self.http.trailing_data[0]) > MAX_BUFFERED_BYTES:
-                return  # it sends on and on, and takes next to nothing
-            self._advance()
-            await self._pass_in()
-
-    async def _pass_in(self) -> None:
-        """Gives what has come of a large body to whoever passes it on, before more is read."""
-        async with self.passing:
-            if self.upload is not None and self.counted is None:
-                flow = self.upload
-                await self.server_state.held.acquire(BODY_PIPE_BYTES, flow)
-                self.counted = flow
-                if self.upload is not flow:
-                    self._give_back()
-            while self.coming:
-                part = self.coming.pop(0)
+                return  # the client keeps sending while it hardly reads its response
+            self._process_events()
+            await self._forward_upload()
+
+    async def _forward_upload(self) -> None:
+        """Passes received parts of a streamed body to its pipe; waits, so that no more is read meanwhile."""
+        async with self.upload_lock:
+            if self.upload is not None and self.budgeted_upload is None:
+                pipe = self.upload
+                await self.server_state.body_budget.acquire(BODY_PIPE_BYTES, pipe)
+                self.budgeted_upload = pipe
+                if self.upload is not pipe:
+                    self._release_budget()
+            while self.pending_parts:
+                part = self.pending_parts.pop(0)
                 if self.upload is None:
                     continue
-                with anyio.move_on_after(self.UNTAKEN) as waiting:
+                with anyio.move_on_after(self.UPLOAD_STALL_SECONDS) as waiting:
                     await self.upload.send(part)
                 if waiting.cancelled_caught and self.exchange is not None:
-                    # Guards against a client that waits for ever on a backend that takes nothing.
+                    # Without this a client would wait forever on a backend that reads nothing.
                     self.server_state.handler.body_stalled(self.exchange)
-            if self.upload is not None and self.upload_over:
-                self._end_upload(True)
+            if self.upload is not None and self.upload_received:
+                self._finish_upload(True)
                 if self.exchange is not None:
                     self.server_state.handler.body_received(self.exchange)
 
-    def _end_upload(self, whole: bool) -> None:
+    def _finish_upload(self, complete: bool) -> None:
         if self.upload is not None:
-            self.upload.finish(whole)
+            self.upload.finish(complete)
             self.upload = None
-            self.coming.clear()
-            self._give_back()
+            self.pending_parts.clear()
+            self._release_budget()
 
-    def _give_back(self) -> None:
-        if self.counted is not None:
-            self.server_state.held.release(BODY_PIPE_BYTES, self.counted)
-            self.counted = None
+    def _release_budget(self) -> None:
+        if self.budgeted_upload is not None:
+            self.server_state.body_budget.release(BODY_PIPE_BYTES, self.budgeted_upload)
+            self.budgeted_upload = None
 
-    def _give_up_upload(self, status: int, words: str) -> None:
-        """Ends an invocation that does not come whole: nothing can have run."""
+    def _abort_upload(self, status: int, message: str) -> None:
+        """Ends an invocation whose request is not received completely; it cannot have run."""
         exchange, self.exchange = self.exchange, None
-        self._end_upload(False)
+        self._finish_upload(False)
         if exchange is not None:
             self.server_state.handler.client_disconnected(exchange)
-        self._turn_down(status, words)
+        self._reject(status, message)
 
-    async def _write(self) -> None:
+    async def _write_loop(self) -> None:
         try:
             while True:
-                await self.wake.wait()
-                self.wake = anyio.Event()
+                await self.write_event.wait()
+                self.write_event = anyio.Event()
                 while self.outbox:
                     await self.stream.send(self.outbox[0])
                     self.outbox.popleft()
-                    self.since = self.server_state.clock()
+                    self.last_activity = self.server_state.clock()
                 if self.download is not None:
-                    await self._pass_out(self.download)
-                if self.ending:
-                    self._end()
+                    await self._stream_response(self.download)
+                if self.close_requested:
+                    self._close_if_still_idle()
                 if self.closing and not self.outbox:
                     break
                 if self.exchange is None:
-                    self._advance()
-                    await self._pass_in()
-            # Guards against a reset that overtakes the answer: close after the client, or after a while.
+                    self._process_events()
+                    await self._forward_upload()
+            # Closes after the client does, or after a delay: a reset could overtake the response.
             await self.stream.send_eof()
-            await anyio.sleep(self.LINGER)
+            await anyio.sleep(self.LINGER_SECONDS)
         except STREAM_CLOSED_ERRORS:
             pass
         self.scope.cancel()
 
-    async def _pass_out(self, flow: BodyPipe) -> None:
-        """Passes a large answer on as it comes; one that breaks off ends the connection: its client sees."""
-        async for part in flow.parts():
+    async def _stream_response(self, pipe: BodyPipe) -> None:
+        """Streams a large response; a truncated one ends the connection, which tells the client."""
+        async for part in pipe.parts():
             data = self.http.send(h11.Data(data=part)) or b""
-            self.since, self.taking = self.server_state.clock(), True
+            self.last_activity, self.awaiting_client = self.server_state.clock(), True
             await self.stream.send(data)
-            self.since, self.taking = self.server_state.clock(), False
-        if not flow.complete:
+            self.last_activity, self.awaiting_client = self.server_state.clock(), False
+        if not pipe.complete:
             self.scope.cancel()
             return
         await self.stream.send(self.http.send(h11.EndOfMessage()) or b"")
-        self.download, self.taking = None, True
-        self._next()
+        self.download, self.awaiting_client = None, True
+        self._start_next_cycle()
 
-    def _next(self) -> None:
-        """Makes ready for the next invocation, if there can be one on this connection."""
+    def _start_next_cycle(self) -> None:
+        """Prepares the connection for the next request, or marks it as closing if it cannot be reused."""
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE and not self.closing:
             self.http.start_next_cycle()
         else:
             self.closing = True
 
-    def _advance(self) -> None:
-        """Goes through what has come until an invocation is whole or more is needed."""
+    def _process_events(self) -> None:
+        """Processes received data until a request is complete or more data is needed."""
         while not self.closing and self.download is None:
-            ahead = self.http.trailing_data[0] if self.request is None else b""
+            unparsed = self.http.trailing_data[0] if self.request is None else b""
             try:
                 event = self.http.next_event()
             except h11.RemoteProtocolError as error:
                 if self.discarding:
                     self.closing, self.discarding = True, False
-                    self.wake.set()
+                    self.write_event.set()
                 else:
-                    self._give_up_upload(error.error_status_hint, "malformed")
+                    self._abort_upload(error.error_status_hint, "malformed")
                 return
             if event is h11.NEED_DATA:
                 if self.http.they_are_waiting_for_100_continue:
-                    self._put(self.http.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
+                    self._send(self.http.send(h11.InformationalResponse(status_code=100, headers=[])) or b"")
                 return
             if isinstance(event, h11.Request):
                 self.request = event
                 self.body.clear()
-                self.got = 0
-                head = ahead[: len(ahead) - len(self.http.trailing_data[0])]
-                if doubt := messages.check_head(event, head):
-                    self._turn_down(doubt.status, doubt.message)
+                self.received_bytes = 0
+                head = unparsed[: len(unparsed) - len(self.http.trailing_data[0])]
+                if bad_request := messages.check_head(event, head):
+                    self._reject(bad_request.status, bad_request.message)
                 elif int(dict(event.headers).get(b"content-length", b"0")) > MAX_BUFFERED_BYTES:
-                    self._flows()
+                    self._start_streaming()
             elif isinstance(event, h11.Data):
-                self._take(event.data)
+                self._receive_body_part(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 if self.discarding:
                     self.discarding = False
-                    self._next()
-                    self.wake.set()
+                    self._start_next_cycle()
+                    self.write_event.set()
                 elif self.upload is not None:
-                    self.upload_over = True
+                    self.upload_received = True
                 else:
-                    self._whole()
+                    self._handle_message()
                 return
             else:
                 return
 
-    def _take(self, data: bytes) -> None:
-        """A part of a body."""
-        self.got += len(data)
-        if self.got > MAX_BODY_BYTES and self.discarding:
-            self.closing, self.discarding = True, False  # it has its answer
-            self.wake.set()
-        elif self.got > MAX_BODY_BYTES:
-            self._give_up_upload(413, "the body is too long")
+    def _receive_body_part(self, data: bytes) -> None:
+        """Buffers or streams a part of a request body, or drops it if the request is answered."""
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_BODY_BYTES and self.discarding:
+            self.closing, self.discarding = True, False  # it has been answered
+            self.write_event.set()
+        elif self.received_bytes > MAX_BODY_BYTES:
+            self._abort_upload(413, "the body is too long")
         elif self.upload is not None:
-            self.coming.append(bytes(data))
+            self.pending_parts.append(bytes(data))
         elif not self.discarding:
             self.body += data
             if len(self.body) > MAX_BUFFERED_BYTES:
-                self._flows()
+                self._start_streaming()
 
-    def _flows(self) -> None:
-        """It is large: it is decided at what has come of it, and the rest is passed on as it comes."""
-        request, self.spoken = self.request, True
+    def _start_streaming(self) -> None:
+        """Starts the invocation of a large request: the rest of its body is streamed as it arrives."""
+        request, self.received_message = self.request, True
         assert request is not None
-        flow = BodyPipe()
-        decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings, flow)
+        pipe = BodyPipe()
+        decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings, pipe)
         if isinstance(decoded, BadRequest):
-            self._turn_down(decoded.status, decoded.message)
+            self._reject(decoded.status, decoded.message)
             return
         limit_kernel_buffers(self.stream)
-        self.upload, self.upload_over = flow, False
+        self.upload, self.upload_received = pipe, False
         self.body.clear()
-        self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
-        self.waited = 0.0
+        self.exchange = Exchange(*decoded, self._deliver, self.unread_seconds, self._client_left)
+        self.unread_seconds = 0.0
         if not self.server_state.handler.start_invocation(self.exchange):
             self.exchange = None
-            self._give_up_upload(400, "this X-Call-Id is in hand")
+            self._abort_upload(400, "this X-Call-Id is in hand")
 
-    def _whole(self) -> None:
+    def _handle_message(self) -> None:
+        """Handles a complete request: a health check or an invocation."""
         request = self.request
         assert request is not None
-        self.spoken = True
+        self.received_message = True
         if self.http.trailing_data[0]:
-            # Guards against a length too short: the rest would pass for the next invocation.
-            self._turn_down(400, "more came than one invocation")
+            # The declared length was too short: the rest would be taken for the next request.
+            self._reject(400, "more came than one invocation")
             return
         path = request.target.partition(b"?")[0]
         if path in (messages.READY_PATH, messages.LIVE_PATH):
-            away = not self.server_state.ready and path == messages.READY_PATH
-            words = "ready" if not away else "leaving" if self.server_state.draining else "standby"
-            self._answer(
-                *messages.encode_text_response(503 if away else 200, words, self.server_state.closing)
+            unready = not self.server_state.ready and path == messages.READY_PATH
+            readiness = "ready" if not unready else "leaving" if self.server_state.draining else "standby"
+            self._respond(
+                *messages.encode_text_response(
+                    503 if unready else 200, readiness, self.server_state.closes_connections
+                )
             )
             return
         decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings)
         if isinstance(decoded, BadRequest):
-            self._answer(
-                *messages.encode_text_response(decoded.status, decoded.message, self.server_state.closing)
+            self._respond(
+                *messages.encode_text_response(
+                    decoded.status, decoded.message, self.server_state.closes_connections
+                )
             )
             return
-        self.exchange = Exchange(*decoded, self._deliver, self.waited, self._left)
-        self.waited = 0.0
+        self.exchange = Exchange(*decoded, self._deliver, self.unread_seconds, self._client_left)
+        self.unread_seconds = 0.0
         if not self.server_state.handler.start_invocation(self.exchange):
             self.exchange = None
-            self._answer(
-                *messages.encode_text_response(400, "this X-Call-Id is in hand", self.server_state.closing)
+            self._respond(
+                *messages.encode_text_response(
+                    400, "this X-Call-Id is in hand", self.server_state.closes_connections
+                )
             )
 
-    def _turn_down(self, status: int, words: str) -> None:
-        """Ends the connection with an answer, since where the next message begins is not known."""
+    def _reject(self, status: int, message: str) -> None:
+        """Answers and ends the connection, since the start of the next request is not known."""
         self.closing = True
-        self._answer(*messages.encode_text_response(status, words, True))
+        self._respond(*messages.encode_text_response(status, message, True))
 
-    def _left(self) -> bool:
-        """Whether the client has closed, reset or half closed its connection."""
+    def _client_left(self) -> bool:
+        """Whether the client has closed, half-closed or reset its connection."""
         return streams.peer_closed(self.stream)
 
     def _deliver(self, answer: ClientResponse) -> None:
+        """Sends the final response to the current invocation."""
         self.exchange = None
         try:
-            self._answer(
-                *messages.encode_client_response(answer, self.server_state.closing), answer.body_pipe
+            self._respond(
+                *messages.encode_client_response(answer, self.server_state.closes_connections),
+                answer.body_pipe,
             )
         except Exception:
-            # Guards against an answer that cannot be put into words: it still has to be one, and the last.
-            self.server_state.log.exception("an answer could not be put into words")
+            # Each invocation gets a response, also where encoding it fails; then the connection ends.
+            self.server_state.log.exception("encoding a response failed")
             self.request, self.closing, self.discarding = None, True, False
             try:
-                self._put(messages.FALLBACK_RESPONSE)
+                self._send(messages.FALLBACK_RESPONSE)
             except Exception:
-                self.scope.cancel()  # the client sees an end, if no answer
+                self.scope.cancel()  # the client sees the connection end
 
-    def _answer(self, response: h11.Response, body: bytes, flow: BodyPipe | None = None) -> None:
-        """Encodes an answer for the writing task; the connection is ready for the next invocation."""
+    def _respond(self, response: h11.Response, body: bytes, pipe: BodyPipe | None = None) -> None:
+        """Sends a response and prepares the connection for the next request; `pipe` streams the body."""
         head_only = self.request is not None and self.request.method == b"HEAD"
         self.request = None
         self.body.clear()
         if self.upload is not None:
-            # Guards against an end that overtakes the answer while its client still sends: the rest is read.
+            # The rest of the request is read: closing while the client sends could overtake the response.
             self.upload.abort()
-            asked_for = not self.http.they_are_waiting_for_100_continue
-            self.discarding = not self.upload_over and not self.closing and asked_for
-            self._end_upload(False)
+            client_sends_body = not self.http.they_are_waiting_for_100_continue
+            self.discarding = not self.upload_received and not self.closing and client_sends_body
+            self._finish_upload(False)
         data = self.http.send(response) or b""
         if body and not head_only:
             data += self.http.send(h11.Data(data=body)) or b""
-        if flow is not None:
-            self.download = flow
+        if pipe is not None:
+            self.download = pipe
             limit_kernel_buffers(self.stream)
             self.outbox.append(data)
-            self.wake.set()
+            self.write_event.set()
             return
         self.http.send(h11.EndOfMessage())
         if not self.discarding:
-            self._next()
-        self._put(data)
+            self._start_next_cycle()
+        self._send(data)
 
-    def _put(self, data: bytes) -> None:
-        """Sends it: small ones at once, others and those behind them by the writing task."""
+    def _send(self, data: bytes) -> None:
+        """Writes small data at once; leaves larger data, and all behind it, to the writing task."""
         if not self.outbox and len(data) <= MAX_BUFFERED_BYTES and streams.try_write(self.stream, data):
-            self.since = self.server_state.clock()
+            self.last_activity = self.server_state.clock()
         elif data:
             self.outbox.append(data)
         if self.outbox or self.closing or self.http.trailing_data[0]:
-            self.wake.set()
+            self.write_event.set()
--- a/thornladder/node/clients/front.py
+++ b/thornladder/node/clients/front.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, within the node's sockets, and sees them out at a planned end."""
+"""Accepts client connections within the node's limit, and closes them on overload, standby or drain."""
 
 from __future__ import annotations
 
@@ -16,20 +16,30 @@
 
 
 class Front:
-    ACCEPT_FOR = 0.5  # seconds: how long connections still come after a planned end is told, and some more
-    QUIET = 0.05  # seconds without a connection: what the kernel had accepted is taken
-    SETTLE = 0.1  # seconds for the first bytes on what was accepted last
-    NEARLY = 0.9  # of the most connections: from here on room is made, and few may queue if there is none
-    BACKLOG = 1024  # connections that the kernel may accept before this node does
-    KEEP = 10.0  # seconds that an idle connection is kept; clients that ask now and then use it again
-    LEAST_KEEP = 2.0  # seconds, once half of the connections are held: as soon as clients are ready for it
-    AT_FIRST = 65536  # bytes: as many as are read in one go later
-    QUIET_FIRST = 0.6  # seconds of standby after which what has been idle for as long is closed …
-    AWAY = 2.0  # … and after which all that is idle is: clients in use have seen their last answers by then
-    GREETED = 0.1  # seconds in which a client says something that connects to say it
-
-    FREE = 0.5  # of the connections that clients have for asking: more than those are not kept without need …
-    UNUSED = 0.2  # … once they were idle for these seconds; clients that go on asking use theirs sooner
+    """The accepting side of a node: its client connections, their number, and their orderly end."""
+
+    # Clients may still connect for about this long after a drain has begun.
+    ACCEPT_AFTER_DRAIN_SECONDS = 0.5
+    ACCEPT_QUIET_SECONDS = 0.05  # without a new connection: the kernel's accept queue is empty
+    SETTLE_SECONDS = 0.1  # for the first bytes on the connections accepted last
+    # Share of the connection limit from which idle connections are closed and the backlog is cut.
+    NEAR_LIMIT_SHARE = 0.9
+    BACKLOG = 1024  # connections that the kernel may queue before this node accepts them
+    IDLE_TIMEOUT_SECONDS = 10.0  # lets clients with occasional requests reuse their connections
+    BUSY_IDLE_TIMEOUT_SECONDS = (
+        2.0  # while over half of the limit is in use; clients cope with a close by then
+    )
+    FIRST_READ_BYTES = 65536  # as much as later reads take at once
+    # In standby, connections idle for this long are closed once standby has lasted as long ...
+    STANDBY_IDLE_SECONDS = 0.6
+    # ... and all idle ones after this time; by then clients in use have seen `Connection: close`.
+    STANDBY_GRACE_SECONDS = 2.0
+    FIRST_BYTE_GRACE_SECONDS = 0.1  # for a client that connects in order to send a request at once
+
+    # Share of the clients' pool limit above which connections are closed ...
+    POOL_TARGET_SHARE = 0.5
+    # ... if idle for this long; clients with steady traffic reuse theirs sooner.
+    POOL_IDLE_SECONDS = 0.2
 
     def __init__(
         self,
@@ -39,9 +49,10 @@
         listener_is_shared: bool = False,
         client_pool_limit: int | None = None,
     ) -> None:
-        """`shared`: the listening socket is others' too, so that nothing is done to it but accepting.
+        """Creates a front that holds at most `max_connections`.
 
-        `asking`: how many connections clients have at most to ask on.
+        `listener_is_shared`: other processes accept on the socket too, so that its backlog is left alone.
+        `client_pool_limit`: how many connections clients have at most for their requests.
         """
         self.client_pool_limit = max_connections if client_pool_limit is None else client_pool_limit
         self.server_state, self.max_connections, self.tasks, self.listener_is_shared = (
@@ -51,177 +62,204 @@
             listener_is_shared,
         )
         self.connections: set[ClientConnection] = set()
-        self.connection_count = 0  # those, and the accepted ones that are not among them yet
-        self.nearly = False  # out of connections to give
-        self.is_open = False  # whether connections are accepted
-        self.accepting: anyio.CancelScope | None = None  # before it is
-        self.away_since = 0.0  # when standby began
+        self.connection_count = 0  # `connections`, and accepted sockets not yet among them
+        self.near_limit = False  # whether the backlog is cut
+        self.is_open = False  # whether new connections are accepted
+        self.accept_scope: anyio.CancelScope | None = None  # None until `run` is called
+        self.standby_since = 0.0
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts until the node leaves; then takes what the kernel has accepted, and closes the socket.
+        """Accepts connections until the node drains, then those still queued; closes the socket.
 
-        What waits at a shared one is for the process that stays.
+        The queue of a shared socket is left to the process that stays.
         """
         self.is_open = True
-        with anyio.CancelScope() as self.accepting:
+        with anyio.CancelScope() as self.accept_scope:
             while True:
-                await self._accept(listener)
-        quiet = self.listener_is_shared
-        while not quiet:
-            with anyio.move_on_after(self.QUIET) as waiting:
-                await self._accept(listener)
-            quiet = waiting.cancelled_caught
+                await self._accept_pending(listener)
+        drained = self.listener_is_shared
+        while not drained:
+            with anyio.move_on_after(self.ACCEPT_QUIET_SECONDS) as quiet_scope:
+                await self._accept_pending(listener)
+            drained = quiet_scope.cancelled_caught
         listener.close()
 
-    async def _accept(self, listener: socket.socket) -> None:
-        """Waits for connections and takes all there are; a cancel comes only while there are none."""
-        while self.connection_count > self.NEARLY * self.max_connections and self._make_room():
+    async def _accept_pending(self, listener: socket.socket) -> None:
+        """Waits for connections and accepts all that are pending; can only be cancelled while none are."""
+        while self.connection_count > self.NEAR_LIMIT_SHARE * self.max_connections and self._make_room():
             await anyio.sleep(0.002)
         while self.connection_count >= self.max_connections:
             await anyio.sleep(0.02)
             self._make_room()
-        nearly = self.connection_count > self.NEARLY * self.max_connections
-        if nearly != self.nearly and not self.listener_is_shared:
-            # What the kernel has accepted counts as taken: none may wait there that there is no room for.
-            self.nearly = nearly
-            listener.listen(1 if nearly else self.BACKLOG)
+        near_limit = self.connection_count > self.NEAR_LIMIT_SHARE * self.max_connections
+        if near_limit != self.near_limit and not self.listener_is_shared:
+            # A queued connection counts as accepted for its client: queue none that there is no room for.
+            self.near_limit = near_limit
+            listener.listen(1 if near_limit else self.BACKLOG)
         await anyio.wait_readable(listener)
         while self.connection_count < self.max_connections:
             try:
-                raw, _ = listener.accept()
+                client_socket, _ = listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
                 self.server_state.log.warning("a connection could not be accepted", error=repr(error))
                 await anyio.sleep(0.05)
                 return
-            first = self._first(raw)
-            if first is None:
-                raw.close()
+            initial_data = self._read_initial(client_socket)
+            if initial_data is None:
+                client_socket.close()
                 continue
-            late = bool(first) and self.server_state.late()
-            waited = streams.seconds_since_last_data(raw) if late else 0.0
-            if late and (nack := self.server_state.early_shedder.nack(first, waited, True)):
+            is_lagging = bool(initial_data) and self.server_state.is_lagging()
+            unread_seconds = streams.seconds_since_last_data(client_socket) if is_lagging else 0.0
+            if is_lagging and (
+                nack := self.server_state.early_shedder.nack(initial_data, unread_seconds, True)
+            ):
                 with suppress(OSError):
-                    raw.send(nack)  # a kernel takes it whole on a connection with nothing under way
-                raw.close()
+                    client_socket.send(nack)  # fits the empty send buffer of a new connection
+                client_socket.close()
                 continue
             self.connection_count += 1
-            self.tasks.start("a client's connection", self._serve, raw, first, waited)
+            self.tasks.start(
+                "a client's connection", self._serve, client_socket, initial_data, unread_seconds
+            )
 
-    def _first(self, raw: socket.socket) -> bytes | None:
-        """What has come already; None if its client has left.
+    def _read_initial(self, client_socket: socket.socket) -> bytes | None:
+        """Returns the bytes already received; None if the client has disconnected.
 
-        Guards against a node short of its core that spends it on clients that have given up: while it was
-        behind they left and came anew, and each of these connections costs more than an invocation.
+        Serving a connection costs more CPU than an invocation. While an overloaded node is behind, clients
+        give up and reconnect; their old connections must not take the CPU from the new ones.
         """
-        raw.setblocking(False)
-        first = b""
+        client_socket.setblocking(False)
+        initial_data = b""
         try:
-            first = raw.recv(self.AT_FIRST)
-            return first if first and raw.recv(1, socket.MSG_PEEK) else None
+            initial_data = client_socket.recv(self.FIRST_READ_BYTES)
+            return initial_data if initial_data and client_socket.recv(1, socket.MSG_PEEK) else None
         except (BlockingIOError, InterruptedError):
-            return first
+            return initial_data
         except OSError:
             return None
 
-    async def _serve(self, raw: socket.socket, first: bytes, waited: float) -> None:
+    async def _serve(self, client_socket: socket.socket, initial_data: bytes, unread_seconds: float) -> None:
         try:
-            stream = streams.limit_reads(await SocketStream.from_socket(raw))
-            connection = ClientConnection(stream, self.server_state, first, waited)
+            stream = streams.limit_reads(await SocketStream.from_socket(client_socket))
+            connection = ClientConnection(stream, self.server_state, initial_data, unread_seconds)
             self.connections.add(connection)
             try:
                 await connection.serve()
             finally:
                 self.connections.discard(connection)
         except (OSError, ValueError):
-            raw.close()  # it was gone before anything came
+            client_socket.close()  # closed by the client before it sent anything
         except Exception:
-            raw.close()
+            client_socket.close()
             raise
         finally:
             self.connection_count -= 1
 
     async def drain(self) -> None:
-        """Sees everybody out: takes what still comes, answers what is at hand, closes the rest.
+        """Drains: accepts late connections, answers requests in flight and closes idle connections.
 
-        What is at hand is answered by the longest cut-off; what has not come whole by then never was taken.
+        Requests in flight are answered within the longest cut-off; a request not received completely by then
+        was never started.
         """
         self.server_state.draining, self.is_open = True, False
-        with anyio.move_on_after(self.ACCEPT_FOR + self.server_state.longest):
+        with anyio.move_on_after(self.ACCEPT_AFTER_DRAIN_SECONDS + self.server_state.max_cut_off):
             if not self.listener_is_shared:
-                await anyio.sleep(self.ACCEPT_FOR)
-            if self.accepting is not None:
-                self.accepting.cancel()
+                await anyio.sleep(self.ACCEPT_AFTER_DRAIN_SECONDS)
+            if self.accept_scope is not None:
+                self.accept_scope.cancel()
             if self.listener_is_shared:
-                # Guards against closing on what is under way on kept connections: first they are seen out.
-                await anyio.sleep(self.ACCEPT_FOR)
-            await anyio.sleep(self.QUIET + self.SETTLE)
-            while not all(connection.done for connection in self.connections):
-                self._close_idle(len(self.connections))
+                # Lets requests in transit on kept connections arrive before these are closed.
+                await anyio.sleep(self.ACCEPT_AFTER_DRAIN_SECONDS)
+            await anyio.sleep(self.ACCEPT_QUIET_SECONDS + self.SETTLE_SECONDS)
+            while not all(connection.last_response_sent for connection in self.connections):
+                self._close_oldest_idle(len(self.connections))
                 await anyio.sleep(0.02)
-        await anyio.sleep(self.SETTLE)
+        await anyio.sleep(self.SETTLE_SECONDS)
 
     def set_standby(self, standby: bool) -> None:
-        """Sends clients away, or takes them back. The door stays open: readiness tells the front."""
-        self.server_state.standby, self.away_since = standby, self.server_state.clock()
+        """Enters or leaves standby. New connections are still accepted: readiness informs the front."""
+        self.server_state.standby, self.standby_since = standby, self.server_state.clock()
 
-    def _send_away(self, now: float) -> None:
-        """Closes what nobody is using. What is used ends with its next answer, which says so.
+    def _close_for_standby(self, now: float) -> None:
+        """Closes idle connections; one in use ends with its next response, which says so.
 
-        Guards against closing on invocations under way: first what has been idle for long, then the rest.
+        Long-idle connections are closed first, so that requests in transit are not lost.
         """
-        since = now - self.away_since
+        standby_seconds = now - self.standby_since
         for connection in list(self.connections):
-            if connection.idle and (since > self.AWAY or now - connection.since > self.QUIET_FIRST < since):
-                self._alone(connection, connection.close_idle)
+            if connection.idle and (
+                standby_seconds > self.STANDBY_GRACE_SECONDS
+                or now - connection.last_activity > self.STANDBY_IDLE_SECONDS < standby_seconds
+            ):
+                self._run_isolated(connection, connection.close_if_idle)
 
     def sweep(self) -> None:
-        """Closes what has long been silent; sooner when many connections are held."""
+        """Enforces timeouts on all connections, and closes idle ones sooner while many are open."""
         now = self.server_state.clock()
         if self.server_state.standby:
-            self._send_away(now)
-        self._free(now)
-        keep = self.LEAST_KEEP if self.connection_count > 0.5 * self.max_connections else self.KEEP
+            self._close_for_standby(now)
+        self._trim_client_pools(now)
+        idle_timeout = (
+            self.BUSY_IDLE_TIMEOUT_SECONDS
+            if self.connection_count > 0.5 * self.max_connections
+            else self.IDLE_TIMEOUT_SECONDS
+        )
         for connection in list(self.connections):
-            self._alone(connection, connection.look, now, keep)
-        if self.connection_count > self.NEARLY * self.max_connections:
+            self._run_isolated(connection, connection.enforce_timeouts, now, idle_timeout)
+        if self.connection_count > self.NEAR_LIMIT_SHARE * self.max_connections:
             self._make_room()
 
-    def _free(self, now: float) -> None:
-        """Ends what nobody uses, the longest unused first, while clients have few connections left to ask on.
+    def _trim_client_pools(self, now: float) -> None:
+        """Closes the longest idle connections while clients use more than a share of their pool limit.
 
-        Guards against clients that ask once and keep their connection for good: they held all that clients
-        may have, and a node with nothing to do was not asked (incident r936087).
+        Clients that sent one request and kept their connection forever once used up all that clients may
+        have, so that an idle node received no requests (incident r936087).
         """
-        spoken = [each for each in self.connections if each.spoken and not each.closing]
-        count = len(spoken) - round(self.FREE * self.client_pool_limit)
-        if count > 0:
-            unused = [each for each in spoken if each.idle and now - each.since > self.UNUSED]
-            for connection in sorted(unused, key=lambda each: each.since)[:count]:
-                self._alone(connection, connection.close_idle)
+        used = [
+            connection
+            for connection in self.connections
+            if connection.received_message and not connection.closing
+        ]
+        excess = len(used) - round(self.POOL_TARGET_SHARE * self.client_pool_limit)
+        if excess > 0:
+            unused = [
+                connection
+                for connection in used
+                if connection.idle and now - connection.last_activity > self.POOL_IDLE_SECONDS
+            ]
+            for connection in sorted(unused, key=lambda connection: connection.last_activity)[:excess]:
+                self._run_isolated(connection, connection.close_if_idle)
 
     def _make_room(self) -> bool:
-        """Closes some of those that say nothing, or else of the idle ones, oldest first; whether it did.
+        """Closes some silent connections, or else some idle ones, oldest first; returns whether it found any.
 
-        Guards against a crowd that connects and says nothing: it must not shut the door on usual clients.
+        Many connections that never send anything must not lock out other clients.
         """
         now, count = self.server_state.clock(), self.max_connections // 10 + 1
-        silent = [each for each in self.connections if each.silent and now - each.began > self.GREETED]
-        for connection in sorted(silent, key=lambda each: each.began)[:count]:
-            self._alone(connection, connection.close_idle)
-        return bool(silent) or self._close_idle(count)
-
-    def _close_idle(self, count: int) -> bool:
-        idle = [each for each in self.connections if each.idle and not each.closing]
-        for connection in sorted(idle, key=lambda each: each.since)[:count]:
-            self._alone(connection, connection.close_idle)
+        silent = [
+            connection
+            for connection in self.connections
+            if connection.silent and now - connection.message_started_at > self.FIRST_BYTE_GRACE_SECONDS
+        ]
+        for connection in sorted(silent, key=lambda connection: connection.message_started_at)[:count]:
+            self._run_isolated(connection, connection.close_if_idle)
+        return bool(silent) or self._close_oldest_idle(count)
+
+    def _close_oldest_idle(self, count: int) -> bool:
+        """Closes up to `count` idle connections; returns whether there were any."""
+        idle = [connection for connection in self.connections if connection.idle and not connection.closing]
+        for connection in sorted(idle, key=lambda connection: connection.last_activity)[:count]:
+            self._run_isolated(connection, connection.close_if_idle)
         return bool(idle)
 
-    def _alone(self, connection: ClientConnection, act: Callable[..., None], *given: Any) -> None:
-        """Guards against one connection's error that ends the looking after all others, or the node."""
+    def _run_isolated(
+        self, connection: ClientConnection, action: Callable[..., None], *arguments: Any
+    ) -> None:
+        """Confines an error on one connection to it, so that the others are still attended to."""
         try:
-            act(*given)
+            action(*arguments)
         except Exception:
-            self.server_state.log.exception("a look at a client's connection failed")
+            self.server_state.log.exception("checking a client's connection failed")
             connection.scope.cancel()
