--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -36,10 +36,10 @@
 
     def client_disconnected(self, exchange: Exchange) -> None: ...
 
-    async def awake(self) -> None: ...
+    async def wait_until_caught_up(self) -> None: ...
 
     @property
-    def blind_at(self) -> float: ...
+    def list_stale_at(self) -> float: ...
 
 
 def outcome_of(result: UpstreamResponse | Failure) -> Outcome:
@@ -196,7 +196,7 @@
         try:
             with scope:
                 line = await self.pool.acquire(backend, address)
-                await self.told.awake()
+                await self.told.wait_until_caught_up()
                 if isinstance(line, Failure):
                     result = line
                 elif scope.cancel_called:
@@ -236,7 +236,7 @@
         """
         if backend in self.leaving and self._binds(backend):
             return True
-        return self.clock() >= min(self.told.blind_at, begin_by)
+        return self.clock() >= min(self.told.list_stale_at, begin_by)
 
     def _unwanted(self, exchange: Exchange) -> bool:
         """Whether nobody waits for this any more, looked at just before the first byte.
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -207,7 +207,7 @@
             self._note_blindness(self.awake_at)
 
     def _note_blindness(self, now: float) -> None:
-        blind = now >= self.blind_at
+        blind = now >= self.list_stale_at
         if blind and self.blind_since is None:
             self.blind_since = now
             self.logger.warning("blind: nothing is pushed until the list is answered for")
@@ -215,7 +215,7 @@
             self.logger.warning("not blind any more", after=round(now - self.blind_since, 3))
             self.blind_since = None
 
-    async def awake(self) -> None:
+    async def wait_until_caught_up(self) -> None:
         """Returns once what came while this node got no core has been read."""
         while self.clock() - self.awake_at > self.LOOK + self.LATE_LOOK:
             await anyio.sleep(0.2 * self.CATCH_UP)
@@ -226,7 +226,7 @@
         return self.clock() + self.watch.stale_at - anyio.current_time() + self.pushes.send_grace
 
     @property
-    def blind_at(self) -> float:
+    def list_stale_at(self) -> float:
         """From when on this node is held to news that it does not have; inf while it has all."""
         return min(self._deaf_at, self.node.list_stale_at)
 
