--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -12,18 +12,18 @@
 import h11
 import pytest
 from anyio._backends._asyncio import SocketStream
-from harness import Bank, Got, listed, news, reply, until
+from harness import LoopbackCluster, ReceivedMessage, list_line, list_reply, reply, wait_until
 
 from thornladder import decide
 from thornladder.node import messages, streams
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.front import Front
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
-from thornladder.node.host import Lag, NodeHost
-from thornladder.node.http1 import Line
+from thornladder.node.host import EventLoopLag, NodeHost
+from thornladder.node.http1 import UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, ConnectionError,
@@ -48,11 +48,15 @@
             5,
         ),
         (Front, ("_accept_pending", "_make_room", "sweep"), 3),
-        (Line, ("ask", "close"), 5),
-        (Pool, ("get", "sweep", "_close_left"), 5),
-        (Pushes, ("on_list", "forget", "_ask"), 5),
-        (Watch, ("_call", "_astray"), 2),
-        (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
+        (UpstreamConnection, ("round_trip", "close"), 5),
+        (Pool, ("acquire", "close_expired", "_close_discarded"), 5),
+        (PushDispatcher, ("on_list", "forget_departed", "_send"), 5),
+        (Watch, ("_poll", "_is_version_regression"), 2),
+        (
+            NodeHost,
+            ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "on_list_answer"),
+            5,
+        ),
         (Exchange, ("finish",), 5),
         (
             messages,
@@ -106,7 +110,7 @@
     return "thornladder" in frame.f_code.co_filename and "tests" not in frame.f_code.co_filename
 
 
-async def crowd(bank: Bank, rounds: int = 10) -> None:
+async def crowd(bank: LoopbackCluster, rounds: int = 10) -> None:
     """Clients that come, ask a few times, and leave: each is answered or sees its connection end."""
 
     async def play(caller: int) -> None:
@@ -137,7 +141,7 @@
             tasks.start_soon(play, caller)
 
 
-async def serves(bank: Bank) -> None:
+async def serves(bank: LoopbackCluster) -> None:
     """Whatever was broken is whole again: within a moment all is as ever."""
 
     async def three() -> bool:
@@ -150,7 +154,7 @@
             await anyio.sleep(0.05)
 
 
-def answer(got: Got) -> bytes | None:
+def answer(got: ReceivedMessage) -> bytes | None:
     if got.target == "/health/live":
         return reply(200)
     if got.headers.get("x-call-id", "").endswith("l"):
@@ -159,7 +163,7 @@
     return reply(503, X_Rejected="1") if odd == 0 else reply(500) if odd == 1 else reply(200)
 
 
-class Rough(Bank):
+class Rough(LoopbackCluster):
     """A bank whose log may hold errors that nobody foresaw."""
 
     async def __aexit__(self, *_: object) -> None:
@@ -184,20 +188,20 @@
     # The node ended: the accepting task had nothing that held an exception.
     version = itertools.count(2)
 
-    def tells(_: Got) -> bytes | None:
-        lines = [listed(number, peer.port) for number, peer in enumerate(bank.backends)]
-        return news(next(version), *lines, whole=True)
+    def tells(_: ReceivedMessage) -> bytes | None:
+        lines = [list_line(number, peer.port) for number, peer in enumerate(bank.backends)]
+        return list_reply(next(version), *lines, whole=True)
 
     plant = Plant(every, node_only if owner in (h11.Connection, SocketStream) else lambda: True)
     monkeypatch.setattr(owner, name, plant.into(getattr(owner, name)))
     if name == "seconds_since_last_data":
-        monkeypatch.setattr(Lag, "late", True)  # it is asked only then
+        monkeypatch.setattr(EventLoopLag, "is_late", True)  # it is asked only then
     bank = Rough(answer, answer, answer, sockets=60, tells=tells)
     async with bank:
         await crowd(bank)
         if not plant.raised:  # what comes only with many idle connections, or with time
             idle = [await bank.client() for _ in range(30)]
-            await until(lambda: plant.raised)
+            await wait_until(lambda: plant.raised)
             for client in idle:
                 await client.stream.aclose()
         plant.armed = False
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -12,7 +12,7 @@
 from thornladder.node import messages
 from thornladder.node.backends.pool import Pool
 from thornladder.node.exchange import Exchange
-from thornladder.node.http1 import Cause, Failure, Line, Stage
+from thornladder.node.http1 import Cause, Failure, Stage, UpstreamConnection
 from thornladder.node.messages import (
     ClientResponse,
     DiscoveryResponse,
@@ -25,7 +25,7 @@
 from thornladder.settings import Address
 
 
-class Told(Protocol):
+class PushListener(Protocol):
     """Who hears of the ends."""
 
     def push_ended(
@@ -36,10 +36,10 @@
 
     def client_disconnected(self, exchange: Exchange) -> None: ...
 
-    async def awake(self) -> None: ...
+    async def wait_until_caught_up(self) -> None: ...
 
     @property
-    def blind_at(self) -> float: ...
+    def list_stale_at(self) -> float: ...
 
 
 def outcome_of(result: UpstreamResponse | Failure) -> Outcome:
@@ -47,22 +47,22 @@
     if isinstance(result, UpstreamResponse):
         return messages.outcome_of(result)
     begun = result.stage in (Stage.SENT, Stage.ANSWERING)
-    if result.cause is Cause.TIME_OUT:
+    if result.cause is Cause.TIMEOUT:
         return Outcome.TIMED_OUT if begun else Outcome.NOT_SENT
     if result.cause is Cause.CANCELLED:
         return Outcome.CANCELLED if begun else Outcome.NOT_SENT
-    if result.cause is Cause.TOO_LATE:
+    if result.cause is Cause.ABANDONED:
         return Outcome.NOT_SENT
     if result.cause is Cause.STALE:
         # Guards against sound backends taken for dead: what broke is a connection that stood idle.
         return Outcome.NOT_SENT
-    if result.cause is Cause.SPOILT:
+    if result.cause is Cause.MALFORMED:
         # Guards against sound backends taken for dead: one that answers nonsense lives.
         return Outcome.ERROR
     return Outcome.CONNECTION_LOST if begun else Outcome.UNREACHABLE
 
 
-class Pushes:
+class PushDispatcher:
     PROBE_TIME_OUT = 0.25  # seconds: longer than a busy backend takes for a probe, shorter than a sentence
     DRAIN_MARGIN = 0.05  # seconds kept of the drain's grace for the way to the backend
     FORGET = 60.0  # seconds: far longer than any push is out
@@ -75,14 +75,14 @@
         soft_removal: bool,
         held: BodyBudget,
         tasks: Tasks,
-        told: Told,
+        told: PushListener,
         clock: Callable[[], float],
         log: Any,
         reports: bool = False,
     ) -> None:
         """`soft_removal`: only a listed drain binds. `reports`: whether a probe also asks for the load."""
-        self.pool, self.grace, self.held, self.tasks = pool, drain_grace, held, tasks
-        self.soft = soft_removal
+        self.pool, self.drain_grace, self.held, self.tasks = pool, drain_grace, held, tasks
+        self.soft_removal = soft_removal
         self.told, self.clock, self.log = told, clock, log
         self.asking = messages.LOAD_PROBE if reports else messages.HEALTH_PROBE
         self.addresses: dict[str, Address] = {}
@@ -90,9 +90,9 @@
         self.drained: set[str] = set()  # those of them that were listed as draining
 
     @property
-    def spared(self) -> float:
+    def send_grace(self) -> float:
         """Seconds from when a change is told until it binds, less the way to the backend."""
-        return max(self.grace - self.DRAIN_MARGIN, 0.0)
+        return max(self.drain_grace - self.DRAIN_MARGIN, 0.0)
 
     def on_list(self, answer: DiscoveryResponse) -> None:
         """Where the backends are, and to which of them nothing new goes."""
@@ -103,7 +103,7 @@
             left |= self.addresses.keys() - running
         for backend, address in answer.addresses.items():
             if self.addresses.get(backend, address) != address:
-                self.pool.drop(backend)
+                self.pool.discard_idle(backend)
             self.addresses[backend] = address
         for backend in running:
             self.leaving.pop(backend, None)
@@ -111,9 +111,9 @@
         self.drained |= {entry.backend for entry in answer.entries if entry.state is State.DRAINING}
         for backend in left:
             self.leaving.setdefault(backend, now)
-            self.pool.drop(backend)
+            self.pool.discard_idle(backend)
 
-    def forget(self) -> None:
+    def forget_departed(self) -> None:
         """What left long ago cannot be pushed to any more."""
         for backend, since in list(self.leaving.items()):
             if self.clock() - since > (self.FORGET if self._binds(backend) else self.FORGET_SOFT):
@@ -121,7 +121,9 @@
                 self.drained.discard(backend)
                 self.addresses.pop(backend, None)
 
-    def start(self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf) -> None:
+    def start_push(
+        self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf
+    ) -> None:
         number, scope = exchange.open_push()
         scope.deadline = anyio.current_time() + time_out
         by = self.clock() + begin_in
@@ -132,7 +134,7 @@
     ) -> None:
         sent = self.clock()
         # Nothing unforeseen keeps an end from being told: the invocation would be left without an answer.
-        outcome, answer, scope, begun = Outcome.CONNECTION_LOST, None, exchange.scopes[number], False
+        outcome, answer, scope, begun = Outcome.CONNECTION_LOST, None, exchange.push_scopes[number], False
 
         def begin(reply: UpstreamResponse) -> None:
             """A large answer is its client's from its first bytes on: there the push has ended."""
@@ -147,8 +149,8 @@
                 reply.body_pipe.abort()  # nobody waits for it
 
         try:
-            left = exchange.given if exchange.coming else time_out
-            result = await self._ask(backend, exchange.message, left, scope, begin, exchange, begin_by)
+            left = exchange.time_budget if exchange.body_incoming else time_out
+            result = await self._send(backend, exchange.message, left, scope, begin, exchange, begin_by)
             ended = outcome_of(result)
             answer = messages.completed_response(result) if ended is Outcome.COMPLETED else None
             outcome = ended
@@ -162,14 +164,14 @@
             self.log.exception("a push's end could not be told")
             exchange.finish(ClientResponse(FinalOutcome.TERMINATED))  # nobody else will
 
-    def probe(self, backend: str) -> None:
+    def start_probe(self, backend: str) -> None:
         self.tasks.start("a probe", self._probe, backend)
 
     async def _probe(self, backend: str) -> None:
         scope = anyio.CancelScope(deadline=anyio.current_time() + self.PROBE_TIME_OUT)
         outcome, report = Outcome.CONNECTION_LOST, NO_REPORT
         try:
-            result = await self._ask(backend, self.asking, self.PROBE_TIME_OUT, scope)
+            result = await self._send(backend, self.asking, self.PROBE_TIME_OUT, scope)
             outcome = outcome_of(result)
             if self.asking is messages.LOAD_PROBE and outcome is Outcome.COMPLETED:
                 report = messages.decode_load_report(result.body)
@@ -177,7 +179,7 @@
             self.log.exception("a probe failed")
         self.told.probe_ended(backend, outcome, report)
 
-    async def _ask(
+    async def _send(
         self, backend: str, message: UpstreamRequest, time_left: float, scope: anyio.CancelScope,
         begin: Callable[[UpstreamResponse], None] | None = None, exchange: Exchange | None = None,
         begin_by: float = math.inf,
@@ -188,42 +190,44 @@
         """
         address = self.addresses.get(backend)
         if address is None:
-            return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft else Cause.TOO_LATE)
-        line: Line | Failure | None = None
+            return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft_removal else Cause.ABANDONED)
+        line: UpstreamConnection | Failure | None = None
         result: UpstreamResponse | Failure | None = None
         try:
             with scope:
-                line = await self.pool.get(backend, address)
-                await self.told.awake()
+                line = await self.pool.acquire(backend, address)
+                await self.told.wait_until_caught_up()
                 if isinstance(line, Failure):
                     result = line
                 elif scope.cancel_called:
                     # Guards against one that was cancelled before it had its turn: nothing below waits before
                     # the first byte, and only what waits hears of a cancel.
                     result = Failure(Stage.CONNECTING, Cause.CANCELLED)
-                elif self._too_late(backend, begin_by) or (exchange is not None and self._unwanted(exchange)):
-                    result = Failure(Stage.CONNECTING, Cause.TOO_LATE)
+                elif self._is_expired(backend, begin_by) or (
+                    exchange is not None and self._unwanted(exchange)
+                ):
+                    result = Failure(Stage.CONNECTING, Cause.ABANDONED)
                 else:
                     request = messages.encode_push(message, time_left, address[0])
                     most = messages.MAX_BODY_BYTES if begin is not None else messages.MAX_BUFFERED_BYTES
-                    result = await line.ask(request, message, most, begin, self.held)
+                    result = await line.round_trip(request, message, most, begin, self.held)
         except Exception:
             # Nothing is foreseen here; it ends one push, which may have run, and not the node.
             self.log.exception("a push failed")
             result = Failure(Stage.SENT, Cause.BROKEN)
         if result is None:
-            cause = Cause.CANCELLED if anyio.current_time() < scope.deadline else Cause.TIME_OUT
-            result = Failure(line.stage if isinstance(line, Line) else Stage.CONNECTING, cause)
-        if isinstance(line, Line):
+            cause = Cause.CANCELLED if anyio.current_time() < scope.deadline else Cause.TIMEOUT
+            result = Failure(line.stage if isinstance(line, UpstreamConnection) else Stage.CONNECTING, cause)
+        if isinstance(line, UpstreamConnection):
             if backend in self.leaving and self._binds(backend):
                 line.reusable = False
             try:
-                await self.pool.put(backend, line)
+                await self.pool.release(backend, line)
             except Exception:
                 self.log.exception("a connection could not be put back")  # its answer stands all the same
         return result
 
-    def _too_late(self, backend: str, begin_by: float) -> bool:
+    def _is_expired(self, backend: str, begin_by: float) -> bool:
         """Whether what was decided while the backend ran is not to be begun any more.
 
         Guards against pushes that waited for a connection: a drain or a silent watch may have overtaken them,
@@ -232,7 +236,7 @@
         """
         if backend in self.leaving and self._binds(backend):
             return True
-        return self.clock() >= min(self.told.blind_at, begin_by)
+        return self.clock() >= min(self.told.list_stale_at, begin_by)
 
     def _unwanted(self, exchange: Exchange) -> bool:
         """Whether nobody waits for this any more, looked at just before the first byte.
@@ -241,10 +245,10 @@
         back-pressure holds up, or have come while this attempt waited for its connection or this node for
         its core; and where nothing may be cancelled, a first or further attempt still on its way out.
         """
-        if not exchange.over and exchange.left:
+        if not exchange.finished and exchange.client_closed:
             self.told.client_disconnected(exchange)
-        return exchange.over
+        return exchange.finished
 
     def _binds(self, backend: str) -> bool:
         """Whether nothing new may go to one that has left."""
-        return not self.soft or backend in self.drained
+        return not self.soft_removal or backend in self.drained
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -16,7 +16,7 @@
 
 from thornladder import decide
 from thornladder.interface import ListKind, LoadReport, Outcome, State
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
 from thornladder.node.maintenance import Maintenance, Mark
@@ -34,7 +34,7 @@
         return self.offset + time.monotonic()
 
 
-class Lag:
+class EventLoopLag:
     """How late this node has lately been: the worst of a second or so, by its own timers."""
 
     LATE = 0.005  # seconds: under it a wait is no more than an answer's way back
@@ -44,7 +44,7 @@
         self.worst = 0.0
 
     @property
-    def late(self) -> bool:
+    def is_late(self) -> bool:
         """Whether what comes has waited for long enough to ask how long."""
         return self.worst > self.LATE
 
@@ -68,18 +68,18 @@
         self.clock, self.tasks, self.logger = clock, tasks, log
         self.maintenance = maintenance or Maintenance()
         self.began, self.told = clock(), False  # told: discovery has answered since the start
-        self.lag = Lag()
+        self.lag = EventLoopLag()
         self.exchanges: dict[str, Exchange] = {}
         self.pending: Counter[str] = Counter()  # timers by name
         self.awake_at = self.began  # when it last noted that it reads what comes
         self.blind_since: float | None = None  # while news that it does not have binds it: nothing is pushed
         self.node: decide.Node
-        self.pushes: Pushes
+        self.pushes: PushDispatcher
         self.watch: Watch
 
     def start(
         self,
-        pushes: Pushes,
+        pushes: PushDispatcher,
         watch: Watch,
         known: DiscoveryResponse,
         seed: int,
@@ -92,19 +92,19 @@
         known = self.maintenance.lay(known, now)
         self.probes = decisions["limits"].probes
         pushes.on_list(known)
-        self.node = decide.Node(self, seed=seed, now=now, room=room, **decisions)
+        self.node = decide.Node(self, seed=seed, now=now, limit_per_backend=room, **decisions)
         self.node.on_list(now, ListKind.RESTORED, known.entries)
-        self.tasks.keep("a look at the clock", self._look)
+        self.tasks.supervise("a look at the clock", self._look)
         if told:
             watch.start()
 
     # The module's calls.
 
     def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
-        self.pushes.start(self.exchanges[invocation], backend, timeout, send_within)
+        self.pushes.start_push(self.exchanges[invocation], backend, timeout, send_within)
 
     def cancel(self, invocation: str, number: int) -> None:
-        self.exchanges[invocation].scopes[number].cancel()
+        self.exchanges[invocation].push_scopes[number].cancel()
 
     def nack(self, invocation: str, retry_after: float) -> None:
         self._finish(self.exchanges[invocation], ClientResponse(FinalOutcome.NACKED, retry_after))
@@ -113,7 +113,7 @@
         self._finish(self.exchanges[invocation], ClientResponse(FinalOutcome.TERMINATED))
 
     def probe(self, backend: str) -> None:
-        self.pushes.probe(backend)
+        self.pushes.start_probe(backend)
 
     def set_timer(self, delay: float, name: str) -> None:
         self.pending[name] += 1
@@ -132,14 +132,16 @@
         if exchange.invocation.id in self.exchanges:
             return False
         self.exchanges[exchange.invocation.id] = exchange
-        left = self._time_left(exchange.given + self.COMING * exchange.coming, exchange.waited)
+        left = self._time_left(
+            exchange.time_budget + self.COMING * exchange.body_incoming, exchange.unread_seconds
+        )
         self._tell_of(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
         return True
 
-    def turns_away(self, offering: str, time_left: float, waited: float) -> float | None:
+    def shed_retry_after(self, offering: str, time_left: float, waited: float) -> float | None:
         """When to come back, if the module turns this away before it is read."""
         try:
-            return self.node.turns_away(self.clock(), offering, time_left - self.WAY_BACK, waited)
+            return self.node.shed_unread(self.clock(), offering, time_left - self.WAY_BACK, waited)
         except Exception:
             self.logger.exception("a decision failed", event_name="turns_away")
             return None
@@ -154,11 +156,11 @@
 
     def body_received(self, exchange: Exchange) -> None:
         """The last byte of a large invocation has come; from here on its client's time counts."""
-        if exchange.over:
+        if exchange.finished:
             return
-        exchange.coming = False
-        left = self._time_left(exchange.given, 0.0)
-        for scope in exchange.scopes:
+        exchange.body_incoming = False
+        left = self._time_left(exchange.time_budget, 0.0)
+        for scope in exchange.push_scopes:
             scope.deadline = anyio.current_time() + left
         self._tell_of(exchange, self.node.on_whole, exchange.invocation.id, left)
 
@@ -167,27 +169,27 @@
         exchange.cancel_pushes()
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        if exchange.over:
+        if exchange.finished:
             return
-        exchange.gone = True
-        if exchange.coming:
+        exchange.client_gone = True
+        if exchange.body_incoming:
             exchange.cancel_pushes()  # nothing more comes to pass on, whatever may be cancelled otherwise
         self._tell_of(exchange, self.node.on_client_gone, exchange.invocation.id)
 
     def push_ended(
         self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: ClientResponse | None
     ) -> None:
-        exchange.out -= 1
+        exchange.pending_pushes -= 1
         if answer is not None:
             self._finish(exchange, answer)
         took = self.clock() - sent
         id = exchange.invocation.id
-        self._tell_of(exchange, self.node.on_push_ended, id, number, outcome, took, exchange.over)
+        self._tell_of(exchange, self.node.on_push_ended, id, number, outcome, took, exchange.finished)
 
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
         self._tell(self.node.on_probe_ended, backend, outcome, report)
 
-    def list_told(self, answer: DiscoveryResponse | None) -> None:
+    def on_list_answer(self, answer: DiscoveryResponse | None) -> None:
         if answer is None:
             self.logger.warning("a call for the list failed")
             self._tell(self.node.on_list, ListKind.UNAVAILABLE, [], self._deaf_at)
@@ -205,7 +207,7 @@
             self._note_blindness(self.awake_at)
 
     def _note_blindness(self, now: float) -> None:
-        blind = now >= self.blind_at
+        blind = now >= self.list_stale_at
         if blind and self.blind_since is None:
             self.blind_since = now
             self.logger.warning("blind: nothing is pushed until the list is answered for")
@@ -213,7 +215,7 @@
             self.logger.warning("not blind any more", after=round(now - self.blind_since, 3))
             self.blind_since = None
 
-    async def awake(self) -> None:
+    async def wait_until_caught_up(self) -> None:
         """Returns once what came while this node got no core has been read."""
         while self.clock() - self.awake_at > self.LOOK + self.LATE_LOOK:
             await anyio.sleep(0.2 * self.CATCH_UP)
@@ -221,12 +223,12 @@
     @property
     def _deaf_at(self) -> float:
         """When what the watch may have missed binds: once it counts as told, and its grace is over."""
-        return self.clock() + self.watch.told_by - anyio.current_time() + self.pushes.spared
+        return self.clock() + self.watch.stale_at - anyio.current_time() + self.pushes.send_grace
 
     @property
-    def blind_at(self) -> float:
+    def list_stale_at(self) -> float:
         """From when on this node is held to news that it does not have; inf while it has all."""
-        return min(self._deaf_at, self.node.blind_at)
+        return min(self._deaf_at, self.node.list_stale_at)
 
     @property
     def list_known(self) -> bool:
@@ -242,14 +244,14 @@
     @property
     def starts(self) -> dict[str, float]:
         """Since when the module ramps those backends that it still does."""
-        known = self.node.roster.known.items()
+        known = self.node.registry.backends.items()
         return {id: backend.ramp_start for id, backend in known if backend.ramp_start is not None}
 
     @property
     def room(self) -> float:
         """How many pushes for each backend that is this node's may be out, as the module has learned."""
         admission = self.node.admission
-        return admission.room / admission.fair if admission.fair > 0.0 else 0.0
+        return admission.concurrency_limit / admission.backend_share if admission.backend_share > 0.0 else 0.0
 
     def mark(self, marks: dict[str, Mark]) -> None:
         """Takes backends out by hand or puts them back, whoever was asked to."""
@@ -260,7 +262,7 @@
         for entry in news.entries:
             if entry.state is State.RUNNING and self.probes:
                 # What it was ejected for before was another process: its answer brings it back at once.
-                self.pushes.probe(entry.backend)
+                self.pushes.start_probe(entry.backend)
 
     def _tell_list(self, answer: DiscoveryResponse) -> None:
         # The module first: what drains is no longer picked, whatever becomes of its connections.
@@ -272,7 +274,7 @@
         await anyio.sleep(max(delay, 0.0))  # the library takes a negative one as an error
         late = self.clock() - due
         self.lag.seen(late)
-        if self.lag.late:
+        if self.lag.is_late:
             self._tell(self.node.on_late, late)
         self.pending[name] -= 1
         if not self._tell(self.node.on_timer, name) and not self.pending[name]:
@@ -296,7 +298,7 @@
             self._tell(self.node.on_lost, exchange.invocation.id)
             self._finish(exchange, ClientResponse(FinalOutcome.TERMINATED))
             exchange.cancel_pushes()
-        if exchange.out == 0:
+        if exchange.pending_pushes == 0:
             self._finish(exchange, ClientResponse(FinalOutcome.TERMINATED))
             self.exchanges.pop(exchange.invocation.id, None)
 
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -15,7 +15,7 @@
 
 from thornladder.node.clients.connection import InvocationHandler
 from thornladder.node.clients.early import ShedPolicy
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.exchange import Exchange
 from thornladder.node.messages import ClientResponse, FinalOutcome
 
@@ -31,10 +31,10 @@
         self.count = 0
         self.held: list[bytearray] = []
 
-    def calls(self) -> Mapping[str, Further]:
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {}
 
-    def between(
+    def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
         self.handler = handler
@@ -45,10 +45,10 @@
         )
         return self, shed_policy
 
-    def start(self, around: Surroundings) -> None:
-        around.tasks.start("a planted fault", self._run)
+    def start(self, context: NodeContext) -> None:
+        context.tasks.start("a planted fault", self._run)
 
-    async def leave(self, succeeded: bool) -> None:
+    async def stop(self, has_successor: bool) -> None:
         """Nothing."""
 
     async def _run(self) -> None:
