--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -238,7 +238,7 @@
             self._update_staleness(self.last_heartbeat)
 
     def _update_staleness(self, now: float) -> None:
-        stale = now >= self.blind_at
+        stale = now >= self.list_stale_at
         if stale and self.list_stale_since is None:
             self.list_stale_since = now
             self.logger.warning("blind: nothing is pushed until the list is answered for")
@@ -246,7 +246,7 @@
             self.logger.warning("not blind any more", after=round(now - self.list_stale_since, 3))
             self.list_stale_since = None
 
-    async def awake(self) -> None:
+    async def wait_until_caught_up(self) -> None:
         """Waits until data that arrived while this process got no CPU has been read."""
         while self.clock() - self.last_heartbeat > self.HEARTBEAT_SECONDS + self.HEARTBEAT_LATE_SECONDS:
             await anyio.sleep(0.2 * self.CATCH_UP_SECONDS)
@@ -257,7 +257,7 @@
         return self.clock() + self.watch.stale_at - anyio.current_time() + self.pushes.send_grace
 
     @property
-    def blind_at(self) -> float:
+    def list_stale_at(self) -> float:
         """From when on the list is stale and nothing may be pushed; inf while it is up to date."""
         return min(self._watch_stale_at, self.node.list_stale_at)
 
