--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from thornladder import settings
-from thornladder.budget import Budget
+from thornladder.budget import RetryBudget
 from thornladder.fields import MalformedError
 from thornladder.interface import Entry, ListKind, Outcome, RetryBudgetRule, State
 
@@ -24,18 +24,18 @@
 
     def __init__(self, few: float, share: float, span: float) -> None:
         self.few, self.share, self.span = Fraction(str(few)), Fraction(str(share)), round(span * 1e6)
-        self.taken: deque[int] = deque()
-        self.further: deque[int] = deque()
+        self.invocations: deque[int] = deque()
+        self.extra_pushes: deque[int] = deque()
 
     def breaks(self, now: int) -> bool:
         """Takes in one push more; whether it was one too many. A window holds what is under a span old for
         what is taken and up to a span for what is pushed, whichever way the users mean its edge."""
-        self.further.append(now)
-        while self.further[0] < now - self.span:
-            self.further.popleft()
-        while self.taken and self.taken[0] <= now - self.span:
-            self.taken.popleft()
-        return len(self.further) > self.few + self.share * len(self.taken)
+        self.extra_pushes.append(now)
+        while self.extra_pushes[0] < now - self.span:
+            self.extra_pushes.popleft()
+        while self.invocations and self.invocations[0] <= now - self.span:
+            self.invocations.popleft()
+        return len(self.extra_pushes) > self.few + self.share * len(self.invocations)
 
 
 RULES = [(2.0, 0.15, 10.0), (0.0, 0.3, 0.1), (3.0, 0.0, 5.0), (1.0, 1.0, 0.000037), (0.5, 0.07, 7.000001)]
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("rule", RULES)
 def test_never_more_than_the_exact_count_over_a_million_events(rule: tuple[float, float, float]) -> None:
     """Two hundred thousand for each rule, with bursts round the edges of windows and of slices."""
-    chance, exact, budget = random.Random(7), Exact(*rule), Budget(RetryBudgetRule(*rule))
+    chance, exact, budget = random.Random(7), Exact(*rule), RetryBudget(RetryBudgetRule(*rule))
     span, now, allowed = round(rule[2] * 1e6), 8_412_250, 0
     edges = deque([now], maxlen=4)
     for _ in range(200_000):
@@ -54,23 +54,23 @@
         elif chance.random() < 0.3:
             now += chance.choice((1, span // 640 + 1, span // 64 + 1, span // 9 + 1))
         if chance.random() < 0.7:
-            exact.taken.append(now)
-            budget.taken.add(1, now / 1e6, now / 1e6)
+            exact.invocations.append(now)
+            budget.invocations.add(1, now / 1e6, now / 1e6)
         elif budget.allows(now / 1e6):
-            budget.further.add(1, now / 1e6, now / 1e6)
+            budget.extra_pushes.add(1, now / 1e6, now / 1e6)
             assert not exact.breaks(now), now
             allowed += 1
     assert allowed > 100, "a budget that allows next to nothing keeps every rule"
-    assert len(budget.taken.counts) + len(budget.further.counts) <= 2 * Budget.SLICES + 1
+    assert len(budget.invocations.counts) + len(budget.extra_pushes.counts) <= 2 * RetryBudget.SLOTS + 1
 
 
 def test_uses_nearly_all_that_the_rule_leaves() -> None:
-    budget, pushed = Budget(RetryBudgetRule(2.0, 0.15, 10.0)), 0
+    budget, pushed = RetryBudget(RetryBudgetRule(2.0, 0.15, 10.0)), 0
     for step in range(6000):
         now = 100.0 + step * 0.01
-        budget.taken.add(1, now, now)
+        budget.invocations.add(1, now, now)
         if budget.allows(now):
-            budget.further.add(1, now, now)
+            budget.extra_pushes.add(1, now, now)
             pushed += 1
     assert pushed >= 0.95 * 0.15 * 6000
 
@@ -120,12 +120,12 @@
 
 
 def test_a_new_span_forgets_nothing_that_was_pushed() -> None:
-    budget = Budget(RetryBudgetRule(3.0, 0.0, 5.0))
+    budget = RetryBudget(RetryBudgetRule(3.0, 0.0, 5.0))
     for _ in range(3):
-        budget.further.add(1, 100.0, 100.0)
-    assert not budget.under(RetryBudgetRule(3.0, 0.0, 8.0), 104.0).allows(111.9)
-    assert not budget.under(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(104.9)
-    assert budget.under(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(105.2)
+        budget.extra_pushes.add(1, 100.0, 100.0)
+    assert not budget.with_rule(RetryBudgetRule(3.0, 0.0, 8.0), 104.0).allows(111.9)
+    assert not budget.with_rule(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(104.9)
+    assert budget.with_rule(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(105.2)
 
 
 def here(number: int, state: State = State.RUNNING) -> Entry:
@@ -160,7 +160,7 @@
     leaves(1, State.GONE)
     leaves(2, State.GONE)
     assert serving(bench) == {"b00", "b02", "b03", "b04", "b05"}
-    while bench.node.health.view(bench.node.registry.backends["b02"]).cause != "dead":
+    while bench.node.health.stats_of(bench.node.registry.backends["b02"]).ejection_cause != "dead":
         bench.submit(f"d{bench.now}", tenant="")
         bench.advance(0.02)
         for id, number in bench.open_pushes():
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -358,7 +358,7 @@
     bench.advance(0.05)
     bench.end_push("a", 0, Outcome.COMPLETED)
     health, now = bench.node.health, bench.now
-    assert health.units["look"].read(now) < 0.1 and health.longest(now) < 0.1
+    assert health.offering_cost["look"].read(now) < 0.1 and health.recent_slowest(now) < 0.1
     for outcome, final in (
         (Outcome.REJECTED, "nacked"),
         (Outcome.CONNECTION_LOST, "nacked"),
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -12,7 +12,7 @@
 
 
 def weights(bench: FakeHost) -> dict[str, int]:
-    return {seat.backend.id: seat.weight for seat in bench.node.rotation.seats}
+    return {entry.backend.id: entry.weight for entry in bench.node.rotation.entries}
 
 
 def ramped(bench: FakeHost, number: int) -> bool:
@@ -25,7 +25,7 @@
     assert weights(bench) == {"b01": 100, "b02": 50}
     bench.advance(6.0)
     bench.send_list([entry(4, weight=2.0)], ListKind.DELTA)
-    start, length = bench.now, bench.node.ramp.length
+    start, length = bench.now, bench.node.slow_start.duration
     for part in (0.0, 0.3, 0.5, 0.8, 1.0):
         bench.advance(start + part * length - bench.now)
         bench.node._rebuild(bench.now)
@@ -52,7 +52,7 @@
 def test_absence_resumes_or_starts_over() -> None:
     bench = FakeHost()
     bench.send_list([entry(1), entry(2)], ListKind.RESTORED)
-    length = bench.node.ramp.length
+    length = bench.node.slow_start.duration
     bench.send_list([entry(2, State.DRAINING)], ListKind.DELTA)
     bench.advance(0.9 * length)
     bench.send_list([entry(2)], ListKind.DELTA)
@@ -109,15 +109,15 @@
     ids = [backend.id for backend in backends]
     met = dict.fromkeys(ids, 0)
     for rank in range(40):
-        part = [b.id for b in decide.Part(rank).of(backends, 4.0, lambda b: True)]
-        assert part == ids[rank % 4 :: 4]
-        for id in part:
+        subset_ids = [b.id for b in decide.Subset(rank).select(backends, 4.0, lambda b: True)]
+        assert subset_ids == ids[rank % 4 :: 4]
+        for id in subset_ids:
             met[id] += 1
     assert set(met.values()) == {10}, "all backends are in as many parts"
-    part, lost = decide.Part(1), set(ids[1::4][:21])
-    assert len(part.of(backends, 4.0, lambda b: b.id not in lost)) == 48
-    assert part.of(backends, 100.0, lambda b: True) == backends
-    assert decide.Part(7).of([], 1.0, lambda b: True) == []
+    subset, lost = decide.Subset(1), set(ids[1::4][:21])
+    assert len(subset.select(backends, 4.0, lambda b: b.id not in lost)) == 48
+    assert subset.select(backends, 100.0, lambda b: True) == backends
+    assert decide.Subset(7).select([], 1.0, lambda b: True) == []
 
 
 def test_a_crowded_zone_is_left_before_each_of_its_backends_is_met() -> None:
@@ -137,10 +137,10 @@
 
 def test_a_few_answers_of_seconds_do_not_outweigh_many_quick_ones() -> None:
     """Guards against a standstill after a jam: a zone that is quick again counts as crowded for long."""
-    health = decide.Health(random.Random(1), print)
+    health = decide.HealthTracker(random.Random(1), print)
     stuck, quick, unmet = (decide.Backend(entry(n)) for n in (0, 2, 4))
     for backend, took, count in ((stuck, 2.0, 5), (quick, 0.04, 30)):
         for _ in range(count):
-            health._learn(decide.Push(backend, 100.0, 0.05, 0.0, True), took, 0.05, 100.0)
+            health._record_latency(decide.Push(backend, 100.0, 0.05, 0.0, True), took, 0.05, 100.0)
     assert health.slowness(unmet, 0.05, 100.0) < 1.6
     assert health.slowness(stuck, 0.05, 100.0) > 5.0
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -128,12 +128,12 @@
     bench = FakeHost(asks=1.0)
     bench.send_list([entry(n) for n in range(6)])
     bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
-    assert bench.node.health.stats["b01"].cause == "hung"
+    assert bench.node.health.stats["b01"].ejection_cause == "hung"
     bench.advance(3.0)
     bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(14.0, 0.0, 0.0))
-    assert bench.node.health.stats["b01"].cause == "hung"
+    assert bench.node.health.stats["b01"].ejection_cause == "hung"
     bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(2.0, 0.0, 20.0))
-    assert not bench.node.health.stats["b01"].cause
+    assert not bench.node.health.stats["b01"].ejection_cause
 
 
 def test_a_backend_whose_report_counts_errors_is_out_until_it_counts_none() -> None:
@@ -141,9 +141,12 @@
     bench.send_list([entry(n) for n in range(6)])
     bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
     bench.answer_probe("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
-    assert bench.node.health.stats["b01"].cause == "erring" and not bench.node.health.stats["b02"].cause
+    assert (
+        bench.node.health.stats["b01"].ejection_cause == "erring"
+        and not bench.node.health.stats["b02"].ejection_cause
+    )
     bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 0.0))
-    assert not bench.node.health.stats["b01"].cause
+    assert not bench.node.health.stats["b01"].ejection_cause
 
 
 def test_a_tagged_push_moves_off_a_silent_backend_within_its_window_only() -> None:
@@ -223,7 +226,7 @@
         bench = FakeHost(worst_offering=worst, asks=1.0)
         for step in range(100):
             bench.submit(f"i{step}", "pay" if step % 4 else "look")
-        return bench.node.admission.standing(bench.node.offerings["look"], 0.05)
+        return bench.node.admission.offering_rank(bench.node.offerings["look"], 0.05)
 
     assert rank(0.0) == 1.0 / 8.0
     assert rank(0.1) == pytest.approx((0.9 + 0.1 * 6.25 / 0.25) / 8.0) and rank(0.5) == 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 import pytest
 from harness import COLD, OFFERINGS, Account, FakeHost, entry
 
-from thornladder.decide import Health
+from thornladder.decide import HealthTracker
 from thornladder.interface import ListKind, Outcome, State
 
 
@@ -144,7 +144,7 @@
     accounts = breaks(bench, 0.15, 1500)
     assert sum(account.final == "nacked" for account in accounts) < 0.02 * len(accounts)
     assert len(bench.log_lines) <= 4, bench.log_lines  # ejected and readmitted, by rare chance
-    assert all(seat.weight == 100 for seat in bench.node.rotation.seats)  # and never ramped for it
+    assert all(entry.weight == 100 for entry in bench.node.rotation.entries)  # and never ramped for it
 
 
 def test_a_dead_process_is_found_among_connections_that_break_everywhere() -> None:
@@ -154,7 +154,7 @@
     dead = used.most_common(1)[0][0]
     met = sum(backend == dead for account in breaks(bench, 0.15, 300, dead) for backend, _ in account.pushes)
     assert f"ejected {dead}: dead" in bench.log_lines
-    assert met <= Health.MOST_SIGNS + 4, "its trials and the signs that it took"
+    assert met <= HealthTracker.MAX_CONNECTION_FAILURES + 4, "its trials and the signs that it took"
 
 
 def test_a_few_errors_of_all_alike_hardly_count_in_the_expected_wait() -> None:
@@ -171,7 +171,7 @@
             )
         for backend in bench.node.registry.usable if step > 200 else ():
             free = health.slowness(backend, 0.05, bench.now) * 0.05
-            prices.append(health.wait(backend, 0.05, bench.now) - free)
+            prices.append(health.expected_wait(backend, 0.05, bench.now) - free)
     assert sum(prices) / len(prices) < 0.5 * 0.5 * 0.05, "half of what an error costs, for each"
 
 
@@ -271,7 +271,7 @@
     bench = FakeHost(probes=False)
     bench.send_list([entry(n) for n in range(4)])
     bad = bench.submit("a").pushes[0][0]
-    bench.node.health.stats[bad].erred.add(9.0, bench.now)
+    bench.node.health.stats[bad].errors.add(9.0, bench.now)
     bench.end_push("a", 0, Outcome.ERROR)
     assert bench.log_lines == [f"ejected {bad}: erring"]
     bench.complete_all()
@@ -287,10 +287,10 @@
     bench.send_list([entry(n) for n in range(4)])
     admission, few = bench.node.admission, 4  # pushes out at two backends that are its part
     for step in range(3000):
-        admission.ended(False, few, bench.now + 0.003 * step)
+        admission.on_push_ended(False, few, bench.now + 0.003 * step)
     assert admission.concurrency_limit == 6.0 * 4 / 2
     for step in range(3000):
-        admission.ended(False, 100, bench.now + 10.0 + 0.003 * step)
+        admission.on_push_ended(False, 100, bench.now + 10.0 + 0.003 * step)
     assert 6.0 * 4 / 2 < admission.concurrency_limit <= 2.0 * 100, (
         "no more than twice what has been borne in time"
     )
--- a/tests/test_told_apart.py
+++ b/tests/test_told_apart.py
@@ -50,7 +50,7 @@
     for step in range(50):
         bench.submit(f"i{step}", tenant=f"made up {step}")
         bench.complete_all()
-    assert set(bench.node.health.beyond[1]) == {""}
+    assert set(bench.node.health.excess_latency[1]) == {""}
 
 
 @pytest.mark.parametrize(("busy", "least", "most"), [(None, 0.3, 1.0), (0.95, 0.3, 1.0), (0.4, 0.0, 0.05)])
--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -1,8 +1,10 @@
-"""Every decision of a thornladder node.
+"""All decisions of one balancer node: where to push, when to retry, what to shed.
 
-A host creates one `Node` for each balancer node and hands it a `Host` (see interface.py). It tells the node
-through the `on_…` methods what happened and when, in seconds; the node acts by calling the host at once. The
-same events with the same seed lead to the same calls. `may_push` and `may_nack` are the only gates."""
+The host creates one `Node` for each balancer node and passes itself in as a `Host` (see interface.py). It
+reports events through the `on_...` methods, with the time in seconds, and the node acts by calling the host
+at once. The same events with the same seed lead to the same calls. Every push passes `may_push`, every nack
+`may_nack`.
+"""
 
 from __future__ import annotations
 
@@ -12,213 +14,251 @@
 from random import Random
 
 from thornladder import interface as api
-from thornladder.budget import Budget
+from thornladder.budget import RetryBudget
 from thornladder.interface import Entry, Host, Idempotency, Invocation, ListKind, Offering, Outcome, State
 
 
-class Fading:
-    """A sum in which what was added `span` seconds ago counts for 1/e of it."""
+class DecayingSum:
+    """A sum with exponential decay: what was added `time_constant` seconds ago counts for 1/e of it."""
 
-    def __init__(self, span: float) -> None:
-        self.span, self.sum, self.at = span, 0.0, 0.0
+    def __init__(self, time_constant: float) -> None:
+        self.time_constant, self.value, self.updated_at = time_constant, 0.0, 0.0
 
     def read(self, now: float) -> float:
-        if now > self.at:
-            self.sum *= exp((self.at - now) / self.span)
-            self.at = now
-        return self.sum
+        """Decay the sum to `now` and return it."""
+        if now > self.updated_at:
+            self.value *= exp((self.updated_at - now) / self.time_constant)
+            self.updated_at = now
+        return self.value
 
     def add(self, amount: float, now: float) -> None:
-        self.sum = self.read(now) + amount
+        self.value = self.read(now) + amount
 
 
-class Mean:
-    """A fading mean of what was added; 0 while next to nothing was."""
+class DecayingMean:
+    """An exponentially weighted mean; 0 while its samples have almost no weight left."""
 
-    def __init__(self, span: float) -> None:
-        self.sum, self.count = Fading(span), Fading(span)
+    def __init__(self, time_constant: float) -> None:
+        self.total, self.count = DecayingSum(time_constant), DecayingSum(time_constant)
 
     def read(self, now: float) -> float:
-        return self.sum.read(now) / self.count.sum if self.count.read(now) > 0.01 else 0.0
+        return self.total.read(now) / self.count.value if self.count.read(now) > 0.01 else 0.0
 
     def add(self, value: float, now: float) -> None:
-        self.sum.add(value, now)
+        self.total.add(value, now)
         self.count.add(1.0, now)
 
 
 class Backend:
-    """What the list says of one backend, and since when this node ramps it."""
+    """A backend as listed, and the start of its slow start at this node."""
 
     def __init__(self, entry: Entry) -> None:
         self.id = entry.backend
-        self.ramp_start: float | None = None  # None: mature
+        self.ramp_start: float | None = None  # None once it takes full weight
         self.absent_since: float | None = None
-        self.usable, self.started_at = False, 0.0  # usable: may be pushed to by what the list says
-        self.drained = self.lapsed = False  # left the list since it last ran, by a drain; in whatever way
-        self.describe(entry)
+        self.usable, self.started_at = False, 0.0  # usable: the list permits pushes to it
+        self.drain_listed = self.delisted = (
+            False  # since it was last listed as running: by a drain; in any way
+        )
+        self.update(entry)
 
-    def describe(self, entry: Entry) -> None:
+    def update(self, entry: Entry) -> None:
+        """Take over what may change while the backend runs."""
         self.zone, self.cell, self.weight = entry.zone, entry.cell, entry.weight
 
-    def group(self, group: str) -> object:
-        """What two backends have in common when one discards repeats of what the other ran."""
-        return self.zone if group == "zone" else self.cell if group == "cell" else None
+    def dedup_domain(self, scope: str) -> object:
+        """What backends have in common if each discards repeats of invocations that another one ran."""
+        return self.zone if scope == "zone" else self.cell if scope == "cell" else None
 
 
-Judge = Callable[[Backend], bool]
-Chance = Callable[[Backend, float], bool]
+BackendPredicate = Callable[[Backend], bool]
+ColdGate = Callable[[Backend, float], bool]
 
 
-class Ramp:
-    """The curve by which a new backend's weight grows: linear, the surest where no more is known."""
+class SlowStart:
+    """How a new backend's weight grows: linearly, the safest curve when nothing else is known of it."""
 
-    def __init__(self, warm_up: float, cold_share: float) -> None:
-        self.length, self.floor = max(0.5 * warm_up, 1.0), cold_share
+    def __init__(self, warm_up: float, initial_capacity: float) -> None:
+        self.duration, self.initial_ratio = max(0.5 * warm_up, 1.0), initial_capacity
 
     def ratio(self, backend: Backend, now: float) -> float:
+        """The part of its listed weight that a backend has at `now`."""
         if backend.ramp_start is None:
             return 1.0
-        return min(1.0, max(self.floor, max(now - backend.ramp_start, 1.0) / self.length))
+        return min(1.0, max(self.initial_ratio, max(now - backend.ramp_start, 1.0) / self.duration))
 
 
 class BackendRegistry:
-    """The backends of the list, and the clock that each one's ramp runs on."""
+    """The listed backends, and since when each one is in slow start."""
 
-    GRACE = 5.0  # seconds: late arrivals after a restart come with the first fresh list, after a call or two
+    # Backends that restarted late are in the first fresh list, which takes a call or two to arrive.
+    STARTUP_GRACE_SECONDS = 5.0
 
     def __init__(self, now: float) -> None:
-        self.ramp, self.grace_until, self.baseline = Ramp(1.0, 1.0), now + self.GRACE, False
-        self.soft = False  # the list does not prove who serves: only a drain binds
+        self.slow_start, self.grace_until, self.has_list = (
+            SlowStart(1.0, 1.0),
+            now + self.STARTUP_GRACE_SECONDS,
+            False,
+        )
+        self.soft_removal = False  # a backend that is gone or off the list may still serve: only drains bind
         self.backends: dict[str, Backend] = {}
 
     @property
     def usable(self) -> list[Backend]:
+        """Backends to which the list permits pushes, by id."""
         return [backend for _, backend in sorted(self.backends.items()) if backend.usable]
 
     def on_list(self, kind: ListKind, entries: list[Entry], now: float) -> None:
+        """Apply a list; one that is not a delta removes the backends that it lacks."""
         seen = {entry.backend for entry in entries}
         for entry in entries:
             if entry.state is State.RUNNING:
-                self._running(entry, now)
+                self._on_running(entry, now)
             elif entry.backend in self.backends:
-                self.leave(self.backends[entry.backend], now, entry.state is State.DRAINING)
+                self.remove(self.backends[entry.backend], now, entry.state is State.DRAINING)
         for backend in self.backends.values() if kind is not ListKind.DELTA else ():
             if backend.id not in seen:
-                self.leave(backend, now)
-        self.baseline = True
+                self.remove(backend, now)
+        self.has_list = True
 
-    def back(self, backend: Backend, away_since: float, restarted: bool, now: float) -> None:
-        """A backend that the health view kept out is pickable again."""
-        newer = backend.ramp_start is not None and backend.ramp_start >= away_since
-        if restarted and not newer or now - away_since >= self.ramp.length:
+    def on_readmitted(self, backend: Backend, ejected_at: float, restarted: bool, now: float) -> None:
+        """Begin slow start for a readmitted backend if it restarted or was out for as long as that takes."""
+        newer = backend.ramp_start is not None and backend.ramp_start >= ejected_at
+        if restarted and not newer or now - ejected_at >= self.slow_start.duration:
             backend.ramp_start = now
 
-    def _running(self, entry: Entry, now: float) -> None:
+    def _on_running(self, entry: Entry, now: float) -> None:
         started = entry.started_at or 0.0
-        recent = entry.started_at is not None and now - started < self.ramp.length
+        recent = entry.started_at is not None and now - started < self.slow_start.duration
         backend = self.backends.get(entry.backend)
         if backend is None:
             backend = self.backends[entry.backend] = Backend(entry)
-            if recent and (not self.baseline or now < self.grace_until):
+            if recent and (not self.has_list or now < self.grace_until):
                 backend.ramp_start = started
-            elif self.baseline and now >= self.grace_until:
+            elif self.has_list and now >= self.grace_until:
                 backend.ramp_start = now
         else:
-            backend.describe(entry)
+            backend.update(entry)
             if started > backend.started_at:
                 backend.ramp_start = started
-            elif backend.absent_since is not None and now - backend.absent_since >= self.ramp.length:
+            elif backend.absent_since is not None and now - backend.absent_since >= self.slow_start.duration:
                 backend.ramp_start = now
         backend.started_at = max(backend.started_at, started)
         backend.usable, backend.absent_since = True, None
-        backend.drained = backend.lapsed = False
+        backend.drain_listed = backend.delisted = False
 
-    def leave(self, backend: Backend, now: float, drains: bool = False, dead: bool = False) -> None:
-        """No longer to be used; where gone does not bind, only once it drains or is found dead as well."""
-        backend.drained, backend.lapsed = backend.drained or drains, True
-        if backend.usable and (backend.drained or dead or not self.soft):
+    def remove(self, backend: Backend, now: float, draining: bool = False, dead: bool = False) -> None:
+        """Stop using a backend; with soft removal only once it is listed as draining or found dead."""
+        backend.drain_listed, backend.delisted = backend.drain_listed or draining, True
+        if backend.usable and (backend.drain_listed or dead or not self.soft_removal):
             backend.usable, backend.absent_since = False, now
 
 
-class Part:
-    """Every n-th backend of the list: under a trickle nothing is known of those met once a minute."""
+class Subset:
+    """Deterministic subsetting: every n-th backend of the list.
 
-    SEEN, LEAST = 4.0, 8  # seconds to meet each once, as Health remembers; backends, to lose a few and choose
+    With little traffic over many backends a node would meet each about once a minute and learn nothing of it.
+    """
 
-    def __init__(self, rank: int = 0) -> None:
-        self.rank, self.step = rank, 1
+    REVISIT_SECONDS, MIN_BACKENDS = 4.0, 8  # to meet each once within the health memory; to spare a few
 
-    def of(self, backends: list[Backend], rate: float, sound: Judge) -> list[Backend]:
-        """The step doubles and halves, so a smaller part lies within the larger; with some slack between."""
-        wanted = max(rate * self.SEEN, self.LEAST)
-        while len(backends) >= 2.5 * self.step * wanted:
-            self.step *= 2
-        while self.step > 1 and len(backends) < 0.8 * self.step * wanted:
-            self.step //= 2
-        step = self.step
-        while step > 1 and sum(map(sound, backends[self.rank % step :: step])) < 0.5 * self.LEAST:
-            # Guards against a part of which most is lost at once: more of the fleet is used until it is back.
-            step //= 2
-        return backends[self.rank % step :: step]
+    def __init__(self, rank: int = 0) -> None:
+        self.rank, self.stride = rank, 1
+
+    def select(self, backends: list[Backend], rate: float, healthy: BackendPredicate) -> list[Backend]:
+        """The subset for a traffic of `rate` invocations a second.
+
+        The stride doubles and halves, so that a smaller subset lies within the larger one; the two thresholds
+        are apart to keep it from flapping.
+        """
+        wanted = max(rate * self.REVISIT_SECONDS, self.MIN_BACKENDS)
+        while len(backends) >= 2.5 * self.stride * wanted:
+            self.stride *= 2
+        while self.stride > 1 and len(backends) < 0.8 * self.stride * wanted:
+            self.stride //= 2
+        stride = self.stride
+        while (
+            stride > 1 and sum(map(healthy, backends[self.rank % stride :: stride])) < 0.5 * self.MIN_BACKENDS
+        ):
+            # When most of a subset fails at once, a larger one is used until it has recovered.
+            stride //= 2
+        return backends[self.rank % stride :: stride]
 
 
-class Seat:
-    """A backend's place in the rotation."""
+class RotationEntry:
+    """A backend's entry in the rotation; the earliest deadline is picked first."""
 
-    def __init__(self, backend: Backend, weight: int, turn: float, ramping: bool) -> None:
-        self.backend, self.weight, self.turn, self.ramping = backend, weight, turn, ramping
+    def __init__(self, backend: Backend, weight: int, deadline: float, ramping: bool) -> None:
+        self.backend, self.weight, self.deadline, self.ramping = backend, weight, deadline, ramping
 
 
 class Rotation:
-    """Weighted round robin: seats come up in the order of their next turn, one turn every 1/weight rounds."""
+    """Weighted round robin by earliest deadline first; an entry comes up once in 1/weight of virtual time."""
 
-    CLEARLY = 0.75  # a choice yields only to a wait this much shorter; the rotation decides among near equals
+    # Another backend replaces the one in turn only if its wait is this much shorter; among near equals the
+    # rotation decides.
+    SHORTER_WAIT_RATIO = 0.75
 
-    def __init__(self, chance: Random) -> None:
-        self.chance = chance
-        self.clock, self.total = 0.0, 1  # rounds gone by; of all weights
-        self.seats: list[Seat] = []
+    def __init__(self, rng: Random) -> None:
+        self.rng = rng
+        self.virtual_time, self.total_weight = 0.0, 1
+        self.entries: list[RotationEntry] = []
 
     def rebuild(self, backends: list[Backend], ratio: Callable[[Backend], float]) -> None:
-        """Rescale the weights, largest 100. Ramping seats wait on, or a trickle would never reach them."""
-        before = {seat.backend.id: seat for seat in self.seats}
-        given = [100.0 if backend.weight is None else max(backend.weight, 0.0) for backend in backends]
-        largest = max(given, default=0.0) or 1.0
-        self.seats = []
-        for backend, listed in zip(backends, given, strict=True):
+        """Rescale the weights so that the largest is 100.
+
+        Backends in slow start keep the rest of their wait: with little traffic they would never be reached if
+        each rebuild drew a new one.
+        """
+        previous = {entry.backend.id: entry for entry in self.entries}
+        listed_weights = [
+            100.0 if backend.weight is None else max(backend.weight, 0.0) for backend in backends
+        ]
+        largest = max(listed_weights, default=0.0) or 1.0
+        self.entries = []
+        for backend, listed in zip(backends, listed_weights, strict=True):
             if listed <= 0:
                 continue
             share = ratio(backend)
             weight = max(floor(100.0 * listed / largest * share + 1e-9), 1)
-            old = before.get(backend.id)
-            kept = share < 1.0 and old is not None and old.ramping
-            wait = max(old.turn - self.clock, 0.0) * old.weight if kept else self.chance.random()
-            self.seats.append(Seat(backend, weight, self.clock + wait / weight, share < 1.0))
-        self.total = sum(seat.weight for seat in self.seats) or 1
-
-    def pick(self, allowed: Judge, wait: Callable[[Backend], float], lets: Chance) -> Backend | None:
-        """The next seat in turn, or one after it with less in flight; ramping ones in turn, or as a spare, if
-        chance `lets` a request go to one that so large a part of all would reach."""
-        self.clock += 1.0 / self.total
+            old = previous.get(backend.id)
+            keeps_wait = share < 1.0 and old is not None and old.ramping
+            wait = (
+                max(old.deadline - self.virtual_time, 0.0) * old.weight if keeps_wait else self.rng.random()
+            )
+            self.entries.append(
+                RotationEntry(backend, weight, self.virtual_time + wait / weight, share < 1.0)
+            )
+        self.total_weight = sum(entry.weight for entry in self.entries) or 1
+
+    def pick(
+        self, allowed: BackendPredicate, wait: Callable[[Backend], float], admits_cold: ColdGate
+    ) -> Backend | None:
+        """Pick the next allowed backend in turn, or a later one with a clearly shorter expected wait.
+
+        A backend in slow start is picked in its turn or when there is no other, and only if `admits_cold`
+        agrees; that is given the share of all traffic that would reach it.
+        """
+        self.virtual_time += 1.0 / self.total_weight
         choice, best, spares = None, 0.0, []
-        self.seats.sort(key=lambda seat: seat.turn)
-        for seat in self.seats:
-            if not allowed(seat.backend):
+        self.entries.sort(key=lambda entry: entry.deadline)
+        for entry in self.entries:
+            if not allowed(entry.backend):
                 continue
-            if seat.ramping and seat.turn > self.clock:
-                spares.append(seat)
+            if entry.ramping and entry.deadline > self.virtual_time:
+                spares.append(entry)
                 continue
-            if seat.ramping and not lets(seat.backend, seat.weight / self.total):
-                seat.turn = self.clock + 1.0 / seat.weight
+            if entry.ramping and not admits_cold(entry.backend, entry.weight / self.total_weight):
+                entry.deadline = self.virtual_time + 1.0 / entry.weight
                 continue
-            expected = wait(seat.backend)
-            if choice is None or expected < self.CLEARLY * best:
-                choice, best = seat, expected
-        choice = choice or next((seat for seat in spares if lets(seat.backend, 1.0)), None)
+            expected = wait(entry.backend)
+            if choice is None or expected < self.SHORTER_WAIT_RATIO * best:
+                choice, best = entry, expected
+        choice = choice or next((entry for entry in spares if admits_cold(entry.backend, 1.0)), None)
         if choice is None:
             return None
-        # A seat that yielded keeps its turn, but never more than one: no burst when it is free again.
-        choice.turn = max(choice.turn, self.clock - 1.0 / choice.weight) + 1.0 / choice.weight
+        # An entry that was passed over keeps at most one overdue turn, so that it gets no burst later.
+        choice.deadline = max(choice.deadline, self.virtual_time - 1.0 / choice.weight) + 1.0 / choice.weight
         return choice.backend
 
 
@@ -226,497 +266,657 @@
     """One push of an invocation."""
 
     outcome: Outcome | None = None
-    kind, drag = ("", ""), 0.0  # its offering and tenant; seconds that these wait wherever they run
-    counted, overtaken = True, 0  # among what is out, until its target time; by how many pushed later
-
-    def __init__(self, backend: Backend, sent: float, cost: float, ahead: float, idle: bool) -> None:
-        self.backend, self.sent, self.cost, self.ahead, self.idle = backend, sent, cost, ahead, idle
+    labels, dependency_delay = ("", ""), 0.0  # offering and tenant; seconds that these wait at every backend
+    counted, overtaken = True, 0  # counts as in flight, until its target time; later pushes that ended first
+
+    def __init__(self, backend: Backend, sent_at: float, cost: float, queued_work: float, idle: bool) -> None:
+        self.backend, self.sent_at, self.cost, self.queued_work, self.idle = (
+            backend,
+            sent_at,
+            cost,
+            queued_work,
+            idle,
+        )
 
 
-class Pace:
-    """How long answers took against what was expected of them."""
+class LatencyRatio:
+    """Response times relative to the expected ones, with exponential decay."""
 
-    def __init__(self, span: float) -> None:
-        self.took, self.expected, self.learned = Fading(span), Fading(span), -100.0 * span
+    def __init__(self, time_constant: float) -> None:
+        self.observed, self.expected, self.updated_at = (
+            DecayingSum(time_constant),
+            DecayingSum(time_constant),
+            -100.0 * time_constant,
+        )
 
-    def learn(self, took: float, expected: float, now: float) -> None:
-        self.took.add(took, now)
+    def add(self, observed: float, expected: float, now: float) -> None:
+        self.observed.add(observed, now)
         self.expected.add(expected, now)
-        self.learned = now
+        self.updated_at = now
 
-    def slowness(self, weight: float, prior: float, now: float) -> float:
-        """The ratio, with a prior of so many seconds. Guards against a standstill where nothing is pushed."""
-        if now - self.learned > 5.0 * self.took.span:
+    def slowness(self, prior_weight: float, prior: float, now: float) -> float:
+        """The ratio, with `prior` counted as `prior_weight` seconds of samples.
+
+        It returns to the prior without new samples; otherwise a backend judged slow would get no pushes and
+        so never any sample that clears it.
+        """
+        if now - self.updated_at > 5.0 * self.observed.time_constant:
             return prior
-        ratio = (self.took.read(now) + weight * prior) / (self.expected.read(now) + weight)
-        return prior + (ratio - prior) * exp((self.learned - now) / self.took.span)
+        ratio = (self.observed.read(now) + prior_weight * prior) / (self.expected.read(now) + prior_weight)
+        return prior + (ratio - prior) * exp((self.updated_at - now) / self.observed.time_constant)
 
 
 class BackendStats:
-    """What this node has seen of one backend."""
+    """What this node has observed of one backend."""
 
     def __init__(self) -> None:
         self.in_flight: dict[tuple[str, int], Push] = {}
-        self.work, self.answered = 0.0, 0.0  # expected cost of what is in flight; its last sign of life
-        self.pace = Pace(Health.MEMORY)
-        self.busy, self.busy_at = 0.0, -inf  # its cores, by the last answer that told
-        self.fine, self.erred, self.broke = (Fading(Health.MEMORY) for _ in range(3))
-        # No connection was made since the last completed push; signs of a dead process since; the last one.
-        self.refused, self.signs, self.sign_at = False, 0, 0.0
-        self.fulls, self.full_until = 0, 0.0
-        self.cause = ""  # why it is ejected; empty if it is not
-        self.since, self.until, self.strikes, self.trial = 0.0, 0.0, 0, False
-        self.cold: deque[tuple[float, float]] = deque()  # pushes while ramping: when, and expected cost
-        self.others, self.told = 0.0, -inf  # what other nodes had out there, as of the last report
-        self.failing, self.asked = "", None  # why its last report has it ejected; since when a probe is out
-
-    def put(self, live: Live, push: Push) -> None:
-        self.in_flight[live.inv.id, live.pushes.index(push)] = push
-        self.work += push.cost
-
-    def silent(self, now: float) -> float:
-        """For how long pushes have waited without any sign of life."""
+        # Expected cost of what is in flight; when the last response came.
+        self.outstanding_work, self.last_response_at = 0.0, 0.0
+        self.latency = LatencyRatio(HealthTracker.MEMORY_SECONDS)
+        self.cpu_utilization, self.cpu_reported_at = 0.0, -inf
+        self.successes, self.errors, self.breaks = (
+            DecayingSum(HealthTracker.MEMORY_SECONDS) for _ in range(3)
+        )
+        # Whether a connection attempt failed since the last completed push; connection failures in a row.
+        self.connect_failed, self.connection_failures, self.last_failure_at = False, 0, 0.0
+        self.rejections, self.backoff_until = 0, 0.0
+        self.ejection_cause = ""  # empty while it is not ejected
+        self.ejected_at, self.next_trial_at, self.ejections, self.trial_in_flight = 0.0, 0.0, 0, False
+        self.cold_pushes: deque[tuple[float, float]] = deque()  # during slow start: time and expected cost
+        # Other nodes' pushes in flight there by the last load report, and when that came.
+        self.others_in_flight, self.reported_at = 0.0, -inf
+        self.reported_failure, self.probe_sent_at = (
+            "",
+            None,
+        )  # cause seen in the last report; None: no probe out
+
+    def add_push(self, active: ActiveInvocation, push: Push) -> None:
+        self.in_flight[active.invocation.id, active.pushes.index(push)] = push
+        self.outstanding_work += push.cost
+
+    def silence(self, now: float) -> float:
+        """Seconds for which pushes have waited without any response."""
         first = next((push for push in self.in_flight.values() if not push.overtaken), None)
-        return now - max(self.answered, first.sent + first.drag) if first else 0.0
-
-
-class Health:
-    """Tells a backend's troubles apart by what comes back from it and what does not.
-
-    dead: connections break or are not made. hung: nothing comes back from pushes or a probe, or its report
-    shows none completed. erring: it answers, with errors. These are ejected. slow, paused, robbed of its
-    machine, full: these only come out longer in `wait`, so that others are picked."""
-
-    MEMORY = 4.0  # seconds: dozens of answers at ten a second, and a trouble is forgotten within ten
-    ANSWERS, LONGEST = 3.0, 16.0  # held in memory at least: one may be heavy; seconds at most, as a trouble
-    PRIOR, SLOWEST = 2.0, 4.0  # answers that a prior counts for; times expected, more says no more of a zone
-    SILENCE = 0.35  # seconds; longer than a collector's pause, shorter than any client waits
-    TOO_MANY_ERRORS, FEW_ERRORS = 0.25, 0.05  # well above a sound backend's; a fifth, more of all is a crowd
-    ALONE = 1.0  # answers of its like lately: fewer tell nothing of a drag
-    IDLE, FULL = 0.7, 0.85  # of the cores: below nothing waits for one, above waits grow to twice
-    TOLD = 4.0  # seconds that what an answer tells of cores is taken for so, as long as all is remembered
-    LIVELY = 1.0  # seconds since an answer: what takes no connection then has no more to give
-    CHANCE, MOST_SIGNS = 0.001, 4  # that breaks in a row befall a sound one; but no more while others die
-    LOST = 2  # overtaken by more than a second worker explains: its answer says nothing of a queue
-    ROW = 3  # pushes turned away one after the other: chance alone seldom makes more at a half
-    SILENT_PROBE = 0.1  # seconds: probes come back within a few hundredths, but from what has gone silent
-    STUCK, TRUST = 2.0, 0.5  # seconds that what is held stays, all of it late; that a report lasts, to 1/e
-    FIRST_SENTENCE, LAST_SENTENCE = 1.0, 4.0  # seconds until the first trial, and after many: it doubles
-
-    def __init__(self, chance: Random, log: Callable[[str], None]) -> None:
-        self.chance, self.log = chance, log
+        return now - max(self.last_response_at, first.sent_at + first.dependency_delay) if first else 0.0
+
+
+class HealthTracker:
+    """Outlier detection and load estimation, from responses, their absence and load reports.
+
+    Backends are ejected as `dead` (connections break or are not made), `hung` (no response to pushes or a
+    probe, or a report that shows none completed) or `erring` (responses are errors). Backends that are slow,
+    paused, short of CPU or full are not ejected: their expected wait grows, so that others are picked.
+    """
+
+    MEMORY_SECONDS = 4.0  # dozens of responses at ten a second, and trouble is forgotten within ten seconds
+    # Responses to remember at least, as one may be heavy; the upper limit, as trouble lasts as long too.
+    MIN_SAMPLES, MAX_MEMORY_SECONDS = 3.0, 16.0
+    # Responses that a prior counts for; longer responses, as a multiple, say no more about a whole zone.
+    PRIOR_SAMPLES, MAX_ZONE_SLOWNESS = 2.0, 4.0
+    SILENCE_SECONDS = 0.35  # longer than a garbage collector's pause, shorter than any client waits
+    # Well above a healthy backend's share; a fifth, as more errors everywhere mean an overload.
+    MAX_ERROR_SHARE, COMMON_ERROR_SHARE = 0.25, 0.05
+    MIN_LABEL_SAMPLES = 1.0  # recent responses of an offering or tenant: fewer show no dependency delay
+    IDLE_CPU, SATURATED_CPU = 0.7, 0.85  # below the first nothing waits for a core; above, waits up to double
+    CPU_REPORT_TTL_SECONDS = 4.0  # as long as the health memory
+    RECENT_RESPONSE_SECONDS = (
+        1.0  # a backend that answered lately but takes no connection is only short of them
+    )
+    # Probability that a healthy backend has this many breaks in a row; the limit while others fail too.
+    FALSE_POSITIVE_RATE, MAX_CONNECTION_FAILURES = 0.001, 4
+    LOST_OVERTAKES = (
+        2  # more than a second worker explains: the response is lost and tells nothing of a queue
+    )
+    REJECTIONS_BEFORE_BACKOFF = 3  # in a row: at a rejection rate of one half chance seldom makes more
+    PROBE_SILENCE_SECONDS = 0.1  # probes return within a few hundredths unless the backend has gone silent
+    # How long a stuck backend's invocations stay, by when all are late; decay of a load report, to 1/e.
+    STUCK_SECONDS, REPORT_DECAY_SECONDS = 2.0, 0.5
+    BASE_EJECTION_SECONDS, MAX_EJECTION_SECONDS = 1.0, 4.0  # until the first trial; doubles up to the second
+
+    def __init__(self, rng: Random, log: Callable[[str], None]) -> None:
+        self.rng, self.log = rng, log
         self.stats: defaultdict[str, BackendStats] = defaultdict(BackendStats)
-        self.zones = defaultdict(lambda: Pace(2.0 * self.MEMORY))
-        self.units = defaultdict(lambda: Mean(30.0))
-        self.busy = Mean(0.5 * self.MEMORY)  # cores, of all; how much longer each offering and tenant took:
-        self.beyond = [defaultdict(lambda: Mean(0.5 * self.MEMORY)) for _ in range(2)]
-        self.fine, self.erred, self.broke = (Fading(self.MEMORY) for _ in range(3))  # of all backends
-        self.ejected, self.slowest, self.slowest_at = 0, 0.0, 0.0
-        self.first = 0.0, 0.0  # the shortest target time, until an answer tells what silence is; since when
-        # What a backend holds by reports, lately and as is usual, and how long answers take: of all backends.
-        self.held, self.usual, self.took = Mean(1.0), Mean(30.0), Mean(30.0)
-        self.priors, self.priors_of = {}, None  # of the zones; the instant and the cost that they are as of
-
-    def remember(self, backends: list[Backend], rate: float) -> None:
-        """Under a trickle what came from a backend is kept longer, or there would be next to nothing."""
-        span = min(max(self.MEMORY, self.ANSWERS * len(backends) / max(rate, 1e-6)), self.LONGEST)
+        self.zone_latency = defaultdict(lambda: LatencyRatio(2.0 * self.MEMORY_SECONDS))
+        self.offering_cost = defaultdict(lambda: DecayingMean(30.0))
+        self.cpu_utilization = DecayingMean(0.5 * self.MEMORY_SECONDS)  # of all backends
+        # Response time beyond the expected, by offering and by tenant.
+        self.excess_latency = [defaultdict(lambda: DecayingMean(0.5 * self.MEMORY_SECONDS)) for _ in range(2)]
+        # Of all backends.
+        self.successes, self.errors, self.breaks = (DecayingSum(self.MEMORY_SECONDS) for _ in range(3))
+        self.ejected_count, self.slowest_response, self.slowest_response_at = 0, 0.0, 0.0
+        # Stands in for the slowest response until there is one: the shortest target time, and since when.
+        self.initial_slowest = 0.0, 0.0
+        # Of all backends: invocations that each holds by reports, lately and usually; response times.
+        self.reported_in_flight, self.usual_in_flight, self.response_time = (
+            DecayingMean(1.0),
+            DecayingMean(30.0),
+            DecayingMean(30.0),
+        )
+        self.zone_priors, self.zone_priors_key = (
+            {},
+            None,
+        )  # a cache by zone; the time and cost it is valid for
+
+    def set_memory(self, backends: list[Backend], rate: float) -> None:
+        """Lengthen the memory under light traffic, so that it holds enough responses of each backend."""
+        time_constant = min(
+            max(self.MEMORY_SECONDS, self.MIN_SAMPLES * len(backends) / max(rate, 1e-6)),
+            self.MAX_MEMORY_SECONDS,
+        )
         for backend in backends:
-            view = self.view(backend)
-            for measure in (view.pace.took, view.pace.expected, view.fine, view.erred, view.broke):
-                measure.span = span
-
-    def _learn(self, push: Push, took: float, expected: float, now: float) -> None:
-        # Guards against a kind that waits on others at every backend, passing for backends that are slow.
-        for means, name in zip(self.beyond, push.kind, strict=True):
-            means[name].add(took - expected, now)
-        if push.drag:
+            stats = self.stats_of(backend)
+            for measure in (
+                stats.latency.observed,
+                stats.latency.expected,
+                stats.successes,
+                stats.errors,
+                stats.breaks,
+            ):
+                measure.time_constant = time_constant
+
+    def _record_latency(self, push: Push, observed: float, expected: float, now: float) -> None:
+        # An offering that waits on a dependency at every backend must not make the backends look slow.
+        for means, name in zip(self.excess_latency, push.labels, strict=True):
+            means[name].add(observed - expected, now)
+        if push.dependency_delay:
             return
-        self.view(push.backend).pace.learn(took, expected, now)
-        self.priors_of = None
-        # Guards against a standstill after a jam: one answer of seconds would outweigh dozens of quick ones.
-        self.zones[push.backend.zone].learn(min(took, self.SLOWEST * expected), expected, now)
+        self.stats_of(push.backend).latency.add(observed, expected, now)
+        self.zone_priors_key = None
+        # Capped: after an overload one response of seconds would outweigh dozens of quick ones, and the zone
+        # would be avoided long after it has recovered.
+        self.zone_latency[push.backend.zone].add(
+            min(observed, self.MAX_ZONE_SLOWNESS * expected), expected, now
+        )
 
-    def view(self, backend: Backend) -> BackendStats:
+    def stats_of(self, backend: Backend) -> BackendStats:
         return self.stats[backend.id]
 
     def cost(self, offering: Offering, now: float) -> float:
-        """Seconds that an invocation keeps a typical backend busy, learned from pushes that found it idle."""
-        mean, guess = self.units[offering.name], offering.target_time / 5.0  # until something is learned
-        return (mean.sum.read(now) + guess) / (mean.count.read(now) + 1.0)
-
-    def drag(self, live: Live, now: float) -> float:
-        """Seconds that its offering or tenant lately takes beyond what others do, if more than is late."""
-        drag = 0.0
-        for means, name in zip(self.beyond, live.kind, strict=True):
-            told = {kind: mean.read(now) for kind, mean in means.items() if mean.count.read(now) > self.ALONE}
-            drag = max(drag, told.get(name, 0.0) - min(told.values(), default=0.0))
-        return drag if drag > AdmissionControl.LATE * live.offering.target_time else 0.0
-
-    def idle(self, now: float) -> bool:
-        """Whether cores stand idle by the answers' reports: what is late then waits for something else."""
-        return 0.0 < self.busy.read(now) < self.IDLE
+        """Seconds for which an invocation keeps a typical backend busy, by pushes that found it idle."""
+        mean, guess = (
+            self.offering_cost[offering.name],
+            offering.target_time / 5.0,
+        )  # used until there are samples
+        return (mean.total.read(now) + guess) / (mean.count.read(now) + 1.0)
+
+    def dependency_delay(self, active: ActiveInvocation, now: float) -> float:
+        """Seconds that this offering or tenant takes beyond the fastest one; 0 if that makes it not late."""
+        delay = 0.0
+        for means, name in zip(self.excess_latency, active.labels, strict=True):
+            sampled = {
+                label: mean.read(now)
+                for label, mean in means.items()
+                if mean.count.read(now) > self.MIN_LABEL_SAMPLES
+            }
+            delay = max(delay, sampled.get(name, 0.0) - min(sampled.values(), default=0.0))
+        return delay if delay > AdmissionControl.LATE_SHARE * active.offering.target_time else 0.0
+
+    def cpu_idle(self, now: float) -> bool:
+        """Whether backends report idle cores: what is late then waits for something else."""
+        return 0.0 < self.cpu_utilization.read(now) < self.IDLE_CPU
 
     def slowness(self, backend: Backend, cost: float, now: float) -> float:
-        """How many times longer than expected its answers have lately taken; its zone's, where few came."""
-        if (now, cost) != self.priors_of:
-            self.priors_of = now, cost
-            self.priors.clear()
-        if (prior := self.priors.get(backend.zone)) is None:
-            prior = max(self.zones[backend.zone].slowness(self.PRIOR * cost, 1.0, now), 1.0)
-            self.priors[backend.zone] = prior  # one look a zone for all seats of a pick
-        return self.stats[backend.id].pace.slowness(self.PRIOR * cost, prior, now)
-
-    def wait(self, backend: Backend, cost: float, now: float) -> float:
+        """Recent response times as a multiple of the expected; the zone's multiple is the prior."""
+        if (now, cost) != self.zone_priors_key:
+            self.zone_priors_key = now, cost
+            self.zone_priors.clear()
+        if (prior := self.zone_priors.get(backend.zone)) is None:
+            prior = max(self.zone_latency[backend.zone].slowness(self.PRIOR_SAMPLES * cost, 1.0, now), 1.0)
+            self.zone_priors[backend.zone] = prior  # computed once a zone for all entries of a pick
+        return self.stats[backend.id].latency.slowness(self.PRIOR_SAMPLES * cost, prior, now)
+
+    def expected_wait(self, backend: Backend, cost: float, now: float) -> float:
         """Seconds until this backend would answer a push of this cost, as far as this node can tell."""
-        view = self.stats[backend.id]
-        wait = self.slowness(backend, cost, now) * self.load(view, cost, now)
-        if now - view.busy_at < self.TOLD:
-            wait *= 1.0 + max(view.busy - self.FULL, 0.0) / (1.0 - self.FULL)
-        if view.in_flight:
-            wait = max(wait, view.silent(now))
-        if view.erred.sum > 0.01 or view.broke.sum > 0.01:
-            # An erring backend answers fast and would draw the traffic. A few that all make alike are none.
-            erred, broke = self._shares(view, now)
-            wait += 0.5 * (max(erred - min(self._shares(self, now)[0], self.FEW_ERRORS), 0.0) + broke)
+        stats = self.stats[backend.id]
+        wait = self.slowness(backend, cost, now) * self.expected_work(stats, cost, now)
+        if now - stats.cpu_reported_at < self.CPU_REPORT_TTL_SECONDS:
+            wait *= 1.0 + max(stats.cpu_utilization - self.SATURATED_CPU, 0.0) / (1.0 - self.SATURATED_CPU)
+        if stats.in_flight:
+            wait = max(wait, stats.silence(now))
+        if stats.errors.value > 0.01 or stats.breaks.value > 0.01:
+            # A penalty, since an erring backend answers fast and would attract traffic. A low share of errors
+            # that all backends have in common costs nothing.
+            errors, breaks = self._failure_shares(stats, now)
+            wait += 0.5 * (
+                max(errors - min(self._failure_shares(self, now)[0], self.COMMON_ERROR_SHARE), 0.0) + breaks
+            )
         return wait
 
-    def load(self, view: BackendStats, cost: float, now: float) -> float:
-        """Seconds of work that a push meets with itself, for what is usual; reports fade towards the mean."""
-        if not self.usual.count.sum:
-            return view.work + cost
-        usual, others = self.usual.read(now), self.held.read(now)
-        others += (view.others - others) * exp((view.told - now) / self.TRUST)
-        return (view.work + (others + 1.0) * cost) / (usual + 1.0)
-
-    def reported(self, backend: Backend, report: api.LoadReport, now: float) -> None:
-        """Take in a load report. Guards against pushes that it takes to find out what a report tells."""
-        view, held, rate = self.view(backend), report.in_flight, report.completion_rate
-        if held is None:
+    def expected_work(self, stats: BackendStats, cost: float, now: float) -> float:
+        """Seconds of work that a push finds at a backend, its own included, relative to the usual load.
+
+        Load reports decay towards the mean of all backends.
+        """
+        if not self.usual_in_flight.count.value:
+            return stats.outstanding_work + cost
+        usual, others = self.usual_in_flight.read(now), self.reported_in_flight.read(now)
+        others += (stats.others_in_flight - others) * exp(
+            (stats.reported_at - now) / self.REPORT_DECAY_SECONDS
+        )
+        return (stats.outstanding_work + (others + 1.0) * cost) / (usual + 1.0)
+
+    def on_report(self, backend: Backend, report: api.LoadReport, now: float) -> None:
+        """Take in a load report, and eject on one that shows a failure before pushes are spent to find it."""
+        stats, in_flight, rate = self.stats_of(backend), report.in_flight, report.completion_rate
+        if in_flight is None:
             return
-        view.others, view.told = max(held - len(view.in_flight), 0.0), now
+        stats.others_in_flight, stats.reported_at = max(in_flight - len(stats.in_flight), 0.0), now
         errors = report.error_rate or 0.0
-        ends = errors + ((held + 1.0) / self.SILENCE if rate is None else rate)
-        erring = errors > 1.0 and errors > self.TOO_MANY_ERRORS * ends
-        stuck = held >= 4.0 and rate is not None and held > self.STUCK * rate  # by Little's law
-        view.failing = "erring" if erring else "hung" if stuck else ""
-        if view.failing:
-            self._eject(backend, view, view.failing, now)
-        if not view.cause:
-            self.held.add(held, now)
-            self.usual.add(held, now)
-
-    def _shares(self, of: BackendStats | Health, now: float) -> tuple[float, float]:
-        """Of the ends lately, how many were errors, and how many more broke off than do alike everywhere."""
-        ends = of.fine.read(now) + of.erred.read(now) + of.broke.read(now) + 1.0
-        alike = self.broke.read(now) / (self.fine.read(now) + self.erred.read(now) + self.broke.sum + 1.0)
-        return of.erred.sum / ends, max(of.broke.sum / ends - alike, 0.0)
-
-    def _signs_needed(self, view: BackendStats, now: float) -> int:
-        """How many signs of a dead process in a row are no chance, as pushes lately break elsewhere."""
-        broke = self.broke.read(now) - view.broke.read(now)
-        ends = broke + self.fine.read(now) - view.fine.read(now) + 1.0
-        usual = min(max(broke / ends, 1e-9), 0.9)
-        return min(max(ceil(log(self.CHANCE) / log(usual)), 2), self.MOST_SIGNS)
-
-    def longest(self, now: float) -> float:
-        """The longest that any answer took lately: one heavy invocation keeps a backend silent that long."""
-        return self.slowest * exp((self.slowest_at - now) / 10.0)
-
-    def pickable(self, backend: Backend, now: float, crowded: bool = False) -> bool:
-        view = self.stats[backend.id]
-        return not view.cause and now >= view.full_until or crowded and view.cause not in ("", "dead")
-
-    def ended(self, key: tuple[str, int], push: Push, offering: Offering, now: float) -> str:
-        """Take in an outcome; returns the cause that the backend was out for if this brings it back."""
-        view = self.view(push.backend)
-        under_way = view.in_flight.pop(key, None) is not None
-        view.work = view.work - push.cost * under_way if view.in_flight else 0.0
-        took, outcome = now - push.sent, push.outcome
-        trial = view.cause != "" and push.sent >= view.until
+        ends = errors + ((in_flight + 1.0) / self.SILENCE_SECONDS if rate is None else rate)
+        erring = errors > 1.0 and errors > self.MAX_ERROR_SHARE * ends
+        # By Little's law.
+        stuck = in_flight >= 4.0 and rate is not None and in_flight > self.STUCK_SECONDS * rate
+        stats.reported_failure = "erring" if erring else "hung" if stuck else ""
+        if stats.reported_failure:
+            self._eject(backend, stats, stats.reported_failure, now)
+        if not stats.ejection_cause:
+            self.reported_in_flight.add(in_flight, now)
+            self.usual_in_flight.add(in_flight, now)
+
+    def _failure_shares(self, source: BackendStats | HealthTracker, now: float) -> tuple[float, float]:
+        """Shares of recent ends: errors, and broken connections beyond the share that all backends have."""
+        ends = source.successes.read(now) + source.errors.read(now) + source.breaks.read(now) + 1.0
+        common = self.breaks.read(now) / (
+            self.successes.read(now) + self.errors.read(now) + self.breaks.value + 1.0
+        )
+        return source.errors.value / ends, max(source.breaks.value / ends - common, 0.0)
+
+    def _failures_needed(self, stats: BackendStats, now: float) -> int:
+        """Connection failures in a row that are no chance, given how often connections break elsewhere."""
+        breaks = self.breaks.read(now) - stats.breaks.read(now)
+        ends = breaks + self.successes.read(now) - stats.successes.read(now) + 1.0
+        usual = min(max(breaks / ends, 1e-9), 0.9)
+        return min(max(ceil(log(self.FALSE_POSITIVE_RATE) / log(usual)), 2), self.MAX_CONNECTION_FAILURES)
+
+    def recent_slowest(self, now: float) -> float:
+        """The slowest recent response: one heavy invocation keeps a backend silent for that long."""
+        return self.slowest_response * exp((self.slowest_response_at - now) / 10.0)
+
+    def pickable(self, backend: Backend, now: float, panic: bool = False) -> bool:
+        """Whether a backend is neither ejected nor in backoff; in panic mode only dead ones are left out."""
+        stats = self.stats[backend.id]
+        return (
+            not stats.ejection_cause
+            and now >= stats.backoff_until
+            or panic
+            and stats.ejection_cause not in ("", "dead")
+        )
+
+    def on_push_ended(self, key: tuple[str, int], push: Push, offering: Offering, now: float) -> str:
+        """Take in an outcome. Returns the cause of the ejection that it ends, or an empty string."""
+        stats = self.stats_of(push.backend)
+        was_in_flight = stats.in_flight.pop(key, None) is not None
+        stats.outstanding_work = (
+            stats.outstanding_work - push.cost * was_in_flight if stats.in_flight else 0.0
+        )
+        elapsed, outcome = now - push.sent_at, push.outcome
+        trial = stats.ejection_cause != "" and push.sent_at >= stats.next_trial_at
         if trial:
-            view.trial = False
+            stats.trial_in_flight = False
             if outcome not in (Outcome.COMPLETED, Outcome.NOT_SENT):
-                # Guards against one trial after the other: whatever went wrong, the sentence starts anew.
-                self._eject(push.backend, view, view.cause, now)
-        if not under_way:
-            return ""  # it ended while its body was on its way: what that took is its client's doing
-        # Guards against backends that answer, and are short of connections, taken for dead.
-        short = outcome is Outcome.UNREACHABLE and not view.signs and now - view.answered < self.LIVELY
+                # Any failed trial restarts the ejection time, or trials would follow one after the other.
+                self._eject(push.backend, stats, stats.ejection_cause, now)
+        if not was_in_flight:
+            return ""  # it ended while its body was being sent, which takes as long as the client does
+        # A backend that still responds but takes no more connections is not dead.
+        no_connection = (
+            outcome is Outcome.UNREACHABLE
+            and not stats.connection_failures
+            and now - stats.last_response_at < self.RECENT_RESPONSE_SECONDS
+        )
         if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.REJECTED):
-            view.answered = now
+            stats.last_response_at = now
         if outcome is Outcome.COMPLETED:
-            self.took.add(took, now)
-            view.signs = view.fulls = 0
-            view.refused = view.refused and view.cause != ""
-            view.fine.add(1.0, now)
-            self.fine.add(1.0, now)
-            if took > self.longest(now):
-                self.slowest, self.slowest_at = took, now
-            for other in view.in_flight.values():
-                other.overtaken += other.sent < push.sent
+            self.response_time.add(elapsed, now)
+            stats.connection_failures = stats.rejections = 0
+            stats.connect_failed = stats.connect_failed and stats.ejection_cause != ""
+            stats.successes.add(1.0, now)
+            self.successes.add(1.0, now)
+            if elapsed > self.recent_slowest(now):
+                self.slowest_response, self.slowest_response_at = elapsed, now
+            for other in stats.in_flight.values():
+                other.overtaken += other.sent_at < push.sent_at
             slowness = max(1.0, self.slowness(push.backend, push.cost, now)) if push.idle else 1.0
-            self._learn(push, took, push.ahead + push.cost, now)
-            if push.idle and not push.drag:
-                # Guards against a crowd passing for costly work: other nodes' pushes wait there unseen.
-                self.units[offering.name].add(took / slowness, now)
-            if view.cause == "hung" or trial:
-                return self._readmit(push.backend, view)
-        elif outcome is Outcome.REJECTED or short:
-            view.fulls += 1 if outcome is Outcome.REJECTED else self.ROW
-            view.pace.took.add(took, now)
-            # Guards against half a fleet held back because each turns some away at random: only a row counts.
-            held = 0.05 * (2.0 ** min(max(view.fulls - self.ROW, 0), 4) - 1.0)
-            view.full_until = now + held * (0.5 + self.chance.random())
+            self._record_latency(push, elapsed, push.queued_work + push.cost, now)
+            if push.idle and not push.dependency_delay:
+                # Divided by the slowness: pushes of other nodes queue there unseen, and an overload must not
+                # pass for costly work.
+                self.offering_cost[offering.name].add(elapsed / slowness, now)
+            if stats.ejection_cause == "hung" or trial:
+                return self._readmit(push.backend, stats)
+        elif outcome is Outcome.REJECTED or no_connection:
+            stats.rejections += 1 if outcome is Outcome.REJECTED else self.REJECTIONS_BEFORE_BACKOFF
+            stats.latency.observed.add(elapsed, now)
+            # Only rejections in a row count: when all backends reject some at random, half of the fleet would
+            # be in backoff otherwise.
+            backoff = 0.05 * (2.0 ** min(max(stats.rejections - self.REJECTIONS_BEFORE_BACKOFF, 0), 4) - 1.0)
+            stats.backoff_until = now + backoff * (0.5 + self.rng.random())
         elif outcome in (Outcome.CONNECTION_LOST, Outcome.UNREACHABLE):
-            # Guards against sound ones kept out for single breaks: what broke together speaks of the process.
-            together = outcome is Outcome.UNREACHABLE or push.sent <= view.sign_at
-            view.refused |= outcome is Outcome.UNREACHABLE
-            view.signs, view.sign_at = view.signs + 1 if together else 1, now
-            if view.signs >= self._signs_needed(view, now):
-                self._eject(push.backend, view, "dead", now)
-        elif outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and push.overtaken < self.LOST:
-            # What was given up on says at least this much about how long the backend takes.
-            self._learn(push, took, min(push.ahead + push.cost, took), now)
+            # Single breaks eject no backend: only pushes that fail together, or connections that are not
+            # made, are evidence against the process.
+            together = outcome is Outcome.UNREACHABLE or push.sent_at <= stats.last_failure_at
+            stats.connect_failed |= outcome is Outcome.UNREACHABLE
+            stats.connection_failures, stats.last_failure_at = (
+                stats.connection_failures + 1 if together else 1,
+                now,
+            )
+            if stats.connection_failures >= self._failures_needed(stats, now):
+                self._eject(push.backend, stats, "dead", now)
+        elif outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and push.overtaken < self.LOST_OVERTAKES:
+            # A push that was given up shows that the backend takes at least this long.
+            self._record_latency(push, elapsed, min(push.queued_work + push.cost, elapsed), now)
         if outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST):
-            for of in (view, self):
-                (of.erred if outcome is Outcome.ERROR else of.broke).add(1.0, now)
-            many = sum(self._shares(view, now)) > self.TOO_MANY_ERRORS
-            if many and view.erred.sum + view.broke.sum >= 2.5:
-                self._eject(push.backend, view, "erring", now)
+            for target in (stats, self):
+                (target.errors if outcome is Outcome.ERROR else target.breaks).add(1.0, now)
+            too_many = sum(self._failure_shares(stats, now)) > self.MAX_ERROR_SHARE
+            if too_many and stats.errors.value + stats.breaks.value >= 2.5:
+                self._eject(push.backend, stats, "erring", now)
         return ""
 
-    def look(self, backends: list[Backend], now: float) -> None:
-        """Eject what has gone silent with several pushes, or one very old one, unanswered."""
-        longest = max(self.longest(now), self.first[0] * exp((self.first[1] - now) / 10.0))
-        usual = max(self.SILENCE, min(1.5 * longest, 3.0 * self.SILENCE))
+    def eject_silent(self, backends: list[Backend], now: float) -> None:
+        """Eject backends that went silent with several pushes, or one very old one, unanswered."""
+        slowest = max(
+            self.recent_slowest(now), self.initial_slowest[0] * exp((self.initial_slowest[1] - now) / 10.0)
+        )
+        usual = max(self.SILENCE_SECONDS, min(1.5 * slowest, 3.0 * self.SILENCE_SECONDS))
         for backend in backends:
-            view = self.stats[backend.id]
-            limit = usual if len(view.in_flight) > 1 else 2.0 * usual
-            if view.in_flight and not view.cause and view.silent(now) > limit:
-                self._eject(backend, view, "hung", now)
-
-    def probed(self, backend: Backend, outcome: Outcome, now: float) -> str:
-        view = self.view(backend)
-        asked, view.trial, view.asked = view.asked, False, None
-        view.refused |= outcome is Outcome.UNREACHABLE
-        if view.cause and (outcome is not Outcome.COMPLETED or view.failing):
-            self._eject(backend, view, view.cause, now)
-        elif view.cause:
-            return self._readmit(backend, view)
-        elif outcome is Outcome.TIMED_OUT and asked is not None and asked > view.answered:
-            self._eject(backend, view, "hung", now)
+            stats = self.stats[backend.id]
+            limit = usual if len(stats.in_flight) > 1 else 2.0 * usual
+            if stats.in_flight and not stats.ejection_cause and stats.silence(now) > limit:
+                self._eject(backend, stats, "hung", now)
+
+    def on_probe_ended(self, backend: Backend, outcome: Outcome, now: float) -> str:
+        """Take in a probe's outcome. Returns the cause of the ejection that it ends, or an empty string."""
+        stats = self.stats_of(backend)
+        probe_sent_at, stats.trial_in_flight, stats.probe_sent_at = stats.probe_sent_at, False, None
+        stats.connect_failed |= outcome is Outcome.UNREACHABLE
+        if stats.ejection_cause and (outcome is not Outcome.COMPLETED or stats.reported_failure):
+            self._eject(backend, stats, stats.ejection_cause, now)
+        elif stats.ejection_cause:
+            return self._readmit(backend, stats)
+        elif (
+            outcome is Outcome.TIMED_OUT
+            and probe_sent_at is not None
+            and probe_sent_at > stats.last_response_at
+        ):
+            self._eject(backend, stats, "hung", now)
         return ""
 
     def trial_due(self, backend: Backend, now: float) -> bool:
-        view = self.view(backend)
-        return view.cause != "" and now >= view.until and not view.trial
-
-    def crowded_out(self, seats: list[Seat]) -> bool:
-        """Whether so many are ejected that there must be another reason; then all but the dead are used."""
-        return self.ejected > 0 and 2 * sum(self.view(s.backend).cause != "" for s in seats) > len(seats)
-
-    def _eject(self, backend: Backend, view: BackendStats, cause: str, now: float) -> None:
-        if not view.cause:
-            view.since, view.strikes, self.ejected = now, 0, self.ejected + 1
+        """Whether an ejected backend may be tried with a push or a probe."""
+        stats = self.stats_of(backend)
+        return stats.ejection_cause != "" and now >= stats.next_trial_at and not stats.trial_in_flight
+
+    def in_panic(self, entries: list[RotationEntry]) -> bool:
+        """Whether more than half is ejected, which must have another cause: then only the dead stay out."""
+        return self.ejected_count > 0 and 2 * sum(
+            self.stats_of(entry.backend).ejection_cause != "" for entry in entries
+        ) > len(entries)
+
+    def _eject(self, backend: Backend, stats: BackendStats, cause: str, now: float) -> None:
+        if not stats.ejection_cause:
+            stats.ejected_at, stats.ejections, self.ejected_count = now, 0, self.ejected_count + 1
             self.log(f"ejected {backend.id}: {cause}")
-        elif now < view.until:
+        elif now < stats.next_trial_at:
             return
-        # A process that broke its connections has restarted, whatever else it is out for.
-        view.cause = "dead" if "dead" in (cause, view.cause) else cause
-        # A sentence that starts while a trial is out makes that trial void: else no other would follow.
-        sentence = min(self.FIRST_SENTENCE * 2.0**view.strikes, self.LAST_SENTENCE)
-        view.trial, view.strikes = False, view.strikes + 1
-        view.until = now + sentence * (0.75 + 0.5 * self.chance.random())
-
-    def _readmit(self, backend: Backend, view: BackendStats) -> str:
-        cause, view.cause, view.signs = view.cause, "", 0
-        self.ejected -= 1
-        view.pace.took.sum = view.pace.expected.sum = view.erred.sum = view.broke.sum = 0.0
+        # A process that broke its connections has restarted, whatever else it was ejected for.
+        stats.ejection_cause = "dead" if "dead" in (cause, stats.ejection_cause) else cause
+        # Clearing the flag voids a trial that is out: it would block the next one for good.
+        ejection = min(self.BASE_EJECTION_SECONDS * 2.0**stats.ejections, self.MAX_EJECTION_SECONDS)
+        stats.trial_in_flight, stats.ejections = False, stats.ejections + 1
+        # With jitter, so that many nodes do not try a backend at the same time.
+        stats.next_trial_at = now + ejection * (0.75 + 0.5 * self.rng.random())
+
+    def _readmit(self, backend: Backend, stats: BackendStats) -> str:
+        cause, stats.ejection_cause, stats.connection_failures = stats.ejection_cause, "", 0
+        self.ejected_count -= 1
+        stats.latency.observed.value = stats.latency.expected.value = stats.errors.value = (
+            stats.breaks.value
+        ) = 0.0
         self.log(f"readmitted {backend.id}: was {cause}")
         return cause
 
 
 class AdmissionControl:
-    """Which invocations to turn away when answers would come too late, the least utility first."""
-
-    LOW, HIGH = 0.25, 0.6  # of the target time: what is expected later is refused to the least, to the most
-    OPEN = 0.3  # of the room, to any utility: a flood worth next to nothing leaves room for the least worth
-    LATE, SOON = 0.3, 0.2  # of the target time: queues slow backends by then (if777b3); reports even them out
-    MANY_LATE, CROWDED = 0.3, 0.15  # more than a fifth of the fleet makes; half, from which copies do harm
-    PAUSE = 0.2  # of the span looked back on, between two cuts, so that each cut is seen before the next
-    LEAST_ROOM = 1.0  # pushes for each backend: with fewer nothing waits, and what is late is not so by room
-    FEW = 16.0  # invocations: a span that sees fewer says nothing of how many pushes are out or late
-    GROWTH, SWIFT = 1.0, 0.25  # pushes a backend and second, or that part of the room: within a surge
-    MOST_ROOM, MORE = 6.0, 2.0  # pushes a backend, or so many times what it bears: a surge, and no queue
-    INITIAL_LIMIT_PER_BACKEND = (
-        2.0  # pushes for each backend, one in work and one that waits: more would queue for long
+    """Decides which invocations to reject when answers would be late, those of the least utility first.
+
+    An adaptive concurrency limit: it grows while pushes end in time and shrinks while many are late.
+    """
+
+    # Of the target time: an expected wait beyond it is rejected, for the least and for the most utility.
+    MIN_WAIT_SHARE, MAX_WAIT_SHARE = 0.25, 0.6
+    # Of the limit, open to any utility, so that a flood of little worth still leaves room for the least.
+    OPEN_SHARE = 0.3
+    # Of the target time: pushes that take longer are late, since queues slow backends by then (incident
+    # if777b3). It is less with load reports, which even the queues out.
+    LATE_SHARE, LATE_SHARE_WITH_REPORTS = 0.3, 0.2
+    # Share of late pushes that lowers the limit: more than a slow fifth of the fleet makes. From half of it
+    # on, hedged copies do harm.
+    MAX_LATE_RATIO, CONGESTED_LATE_RATIO = 0.3, 0.15
+    DECREASE_PAUSE = (
+        0.2  # of the span looked back on, so that the effect of a decrease is seen before the next
     )
-    SAVED, LONGEST = 5.0, 5.0  # invocations saved up, as chance in a trickle; seconds, well under a surge
+    MIN_LIMIT_PER_BACKEND = 1.0  # with fewer nothing queues, so that late answers have another cause
+    MIN_SPAN_INVOCATIONS = 16.0  # a span with fewer tells nothing of how many pushes are in flight or late
+    # Growth in a second, per backend or as a part of the limit, so that it follows a surge.
+    GROWTH_PER_BACKEND, GROWTH_RATIO = 1.0, 0.25
+    # Pushes per backend, or a multiple of what is sustained, whichever is more: for a surge, but no queue.
+    MAX_LIMIT_PER_BACKEND, MAX_SUSTAINED_RATIO = 6.0, 2.0
+    INITIAL_LIMIT_PER_BACKEND = 2.0  # one in work and one that waits: more would queue for long
+    # Tokens that a tenant may save up at least, as light traffic clusters by chance; well under a surge.
+    MIN_BURST, MAX_SPAN_SECONDS = 5.0, 5.0
 
     def __init__(self) -> None:
-        self.came_of: defaultdict[str, float] = defaultdict(float)  # invocations, to each offering
-        self.shares: dict[str, tuple[float, float]] = {}  # what each tenant has left, and as of when
-        self.best, self.backend_share = (
-            0.0,
-            0.0,
-        )  # the most utility for a second of work lately; this node's backends
-        self.concurrency_limit = inf  # how many pushes this node may have out; may be under one
-        self.arrivals, self.span = Fading(self.LONGEST), self.LONGEST
-        self.ends, self.lates = Fading(self.span), Fading(self.span)
-        self.borne = Mean(30.0)  # pushes out for each backend while few are late
-        self.mean_out = self.out_at = self.cut_at = self.ended_at = 0.0
-
-    def settle(self, given: api.DecisionSettings) -> None:
-        self.rates = {tenant.name: tenant.allowance / given.nodes for tenant in given.tenants}
-        self.over_share, self.by_work = given.over_share_worth, given.utility_by_work
-        self.uneven, self.first = given.limits.probes_per_invocation > 0.0, self.INITIAL_LIMIT_PER_BACKEND
-        self.late = self.SOON if self.uneven else self.LATE
-        self.worst_offering = given.worst_offering if self.uneven else 0.0
-        self.utilities = {offering.name: offering.utility for offering in given.offerings}
-        self.top, self.least = max(self.utilities.values()) or 1.0, min(self.utilities.values())
-
-    def sized(self, fair: float, now: float) -> None:
-        """This node's part of the backends, its room with it; a trickle makes it look back further."""
-        if self.uneven or self.concurrency_limit == inf:
+        self.arrivals_by_offering: defaultdict[str, float] = defaultdict(float)
+        self.tenant_tokens: dict[str, tuple[float, float]] = {}  # tokens left, and when they were counted
+        # The highest recent utility for a second of work; how many backends are this node's part.
+        self.best_utility_rate, self.backend_share = 0.0, 0.0
+        self.concurrency_limit = inf  # pushes that this node may have in flight; may be under one
+        self.arrivals, self.span = DecayingSum(self.MAX_SPAN_SECONDS), self.MAX_SPAN_SECONDS
+        self.end_count, self.late_count = DecayingSum(self.span), DecayingSum(self.span)
+        self.sustained_in_flight = DecayingMean(30.0)  # pushes in flight for each backend while few are late
+        self.mean_in_flight = self.mean_updated_at = self.decreased_at = self.ended_at = 0.0
+
+    def configure(self, settings: api.DecisionSettings) -> None:
+        """Apply new settings; what was learned stays."""
+        self.tenant_rates = {tenant.name: tenant.allowance / settings.nodes for tenant in settings.tenants}
+        self.over_share_worth, self.utility_by_work = settings.over_share_worth, settings.utility_by_work
+        self.uneven_traffic, self.initial_limit = (
+            settings.limits.probes_per_invocation > 0.0,
+            self.INITIAL_LIMIT_PER_BACKEND,
+        )
+        self.late_share = self.LATE_SHARE_WITH_REPORTS if self.uneven_traffic else self.LATE_SHARE
+        self.worst_offering = settings.worst_offering if self.uneven_traffic else 0.0
+        self.utilities = {offering.name: offering.utility for offering in settings.offerings}
+        self.max_utility, self.min_utility = max(self.utilities.values()) or 1.0, min(self.utilities.values())
+
+    def resize(self, backend_share: float, now: float) -> None:
+        """Scale the limit to this node's part of the backends, and the span to its traffic."""
+        if self.uneven_traffic or self.concurrency_limit == inf:
             self.concurrency_limit = (
-                self.concurrency_limit * fair / self.backend_share
+                self.concurrency_limit * backend_share / self.backend_share
                 if self.backend_share
-                else self.first * fair or inf
+                else self.initial_limit * backend_share or inf
             )
-        self.backend_share = fair
-        self.span = min(self.FEW / max(self.rate(now), 1e-6), self.LONGEST)
-        self.ends.span = self.lates.span = max(self.span, 0.5)
-
-    def rate(self, now: float) -> float:
-        """Invocations a second at this node; too few until it has run for some seconds."""
-        return self.arrivals.read(now) / self.LONGEST
-
-    def level(self, out: int, now: float) -> float:
-        """Pushes out on the mean of the span: `out` alone would nack where a node's part is under one."""
-        self.mean_out += (out - self.mean_out) * (1.0 - exp((self.out_at - now) / self.span))
-        self.out_at = now
-        return self.mean_out
-
-    def rank(self, live: Live) -> float:
-        """How much an invocation is worth for the work it makes, as a share of the most there is."""
-        part = self.over_share if live.over_share else 1.0
-        if live.inv.is_retry:
-            part *= live.offering.late_utility_share  # the first try's target time has most likely passed
-        return self.standing(live.offering, live.cost, part)
-
-    def standing(self, offering: Offering, cost: float, part: float = 1.0) -> float:
-        """The same for any invocation of an offering that earns `part` of its utility."""
-        worth = self.earns(offering) * part
-        if self.by_work:
-            return worth / self.top
-        worth /= max(cost, 1e-6)
-        self.best = max(self.best * 0.999, worth)
-        return worth / self.best if self.best else 0.0
-
-    def earns(self, offering: Offering) -> float:
-        """Its utility; for the least also what the worst-served offering counts for by itself."""
-        if not (self.worst_offering and self.came_of) or offering.utility > self.least:
+        self.backend_share = backend_share
+        self.span = min(self.MIN_SPAN_INVOCATIONS / max(self.arrival_rate(now), 1e-6), self.MAX_SPAN_SECONDS)
+        self.end_count.time_constant = self.late_count.time_constant = max(self.span, 0.5)
+
+    def arrival_rate(self, now: float) -> float:
+        """Invocations a second at this node; too low until it has run for some seconds."""
+        return self.arrivals.read(now) / self.MAX_SPAN_SECONDS
+
+    def update_mean(self, in_flight: int, now: float) -> float:
+        """The mean of pushes in flight over the span.
+
+        The present number alone would cause nacks where a node's limit is under one.
+        """
+        self.mean_in_flight += (in_flight - self.mean_in_flight) * (
+            1.0 - exp((self.mean_updated_at - now) / self.span)
+        )
+        self.mean_updated_at = now
+        return self.mean_in_flight
+
+    def rank(self, active: ActiveInvocation) -> float:
+        """Utility of an invocation for the work that it makes, relative to the best there is, from 0 to 1."""
+        part = self.over_share_worth if active.over_share else 1.0
+        if active.invocation.is_retry:
+            part *= (
+                active.offering.late_utility_share
+            )  # the target time of the first try has most likely passed
+        return self.offering_rank(active.offering, active.cost, part)
+
+    def offering_rank(self, offering: Offering, cost: float, part: float = 1.0) -> float:
+        """The rank of any invocation of an offering that earns `part` of its utility."""
+        utility = self.effective_utility(offering) * part
+        if self.utility_by_work:
+            return utility / self.max_utility
+        utility /= max(cost, 1e-6)
+        self.best_utility_rate = max(self.best_utility_rate * 0.999, utility)
+        return utility / self.best_utility_rate if self.best_utility_rate else 0.0
+
+    def effective_utility(self, offering: Offering) -> float:
+        """Its utility; for the least one plus what the worst-served offering counts for by itself."""
+        if not (self.worst_offering and self.arrivals_by_offering) or offering.utility > self.min_utility:
             return offering.utility
-        whole = sum(came * self.utilities.get(name, 0.0) for name, came in self.came_of.items())
-        alone = whole / max(self.came_of[offering.name], 1.0)
-        return min(offering.utility + self.worst_offering * (alone - offering.utility), self.top)
+        total = sum(
+            count * self.utilities.get(name, 0.0) for name, count in self.arrivals_by_offering.items()
+        )
+        alone = total / max(self.arrivals_by_offering[offering.name], 1.0)
+        return min(offering.utility + self.worst_offering * (alone - offering.utility), self.max_utility)
 
-    def came(self, live: Live, now: float) -> None:
-        """Count an invocation against its tenant's share: this node's part, a second of it saved up."""
+    def on_arrival(self, active: ActiveInvocation, now: float) -> None:
+        """Count an invocation and take a token from its tenant's bucket, a share of its allowance."""
         self.arrivals.add(1.0, now)
-        self.came_of[live.offering.name] += 1.0
-        rate = self.rates.get(live.inv.tenant)
-        # Guards against memory that grows with what clients call themselves: only known ones are kept.
-        live.kind = live.offering.name, "" if rate is None else live.inv.tenant
-        if rate is None or live.inv.is_retry:
+        self.arrivals_by_offering[active.offering.name] += 1.0
+        rate = self.tenant_rates.get(active.invocation.tenant)
+        # Only known tenants are kept: clients choose the name, and memory must not grow with what they send.
+        active.labels = active.offering.name, "" if rate is None else active.invocation.tenant
+        if rate is None or active.invocation.is_retry:
             return
-        # Guards against a trickle whose every invocation counts as over share: a second of it is under one.
-        most = max(rate, self.SAVED)
-        left, at = self.shares.get(live.inv.tenant, (most, now))
-        left = min(left + rate * (now - at), most)
-        live.over_share = left < 1.0
-        self.shares[live.inv.tenant] = (left if live.over_share else left - 1.0, now)
-
-    def refuses(self, live: Live, wait: float, out: int, now: float, idle: bool) -> bool:
-        rank = self.rank(live)
-        room = self.concurrency_limit * (self.OPEN + (1.0 - self.OPEN) * rank**0.5)
-        if room < out + 1.0 and self.level(out, now) >= room and not idle:
+        # A second's allowance may be under one token: a light tenant's traffic would all be over share.
+        burst = max(rate, self.MIN_BURST)
+        tokens, counted_at = self.tenant_tokens.get(active.invocation.tenant, (burst, now))
+        tokens = min(tokens + rate * (now - counted_at), burst)
+        active.over_share = tokens < 1.0
+        self.tenant_tokens[active.invocation.tenant] = (tokens if active.over_share else tokens - 1.0, now)
+
+    def rejects(
+        self, active: ActiveInvocation, wait: float, in_flight: int, now: float, cpu_idle: bool
+    ) -> bool:
+        """Whether to reject an invocation, by the concurrency limit or by its expected wait in seconds."""
+        rank = self.rank(active)
+        limit = self.concurrency_limit * (self.OPEN_SHARE + (1.0 - self.OPEN_SHARE) * rank**0.5)
+        if limit < in_flight + 1.0 and self.update_mean(in_flight, now) >= limit and not cpu_idle:
             return True
-        limit = self.LOW + (self.HIGH - self.LOW) * rank
-        # Its own cost is no sign of crowding: a heavy invocation is not to be turned away for being heavy.
-        return wait - live.cost > limit * live.offering.target_time
-
-    def crowded(self, now: float) -> bool:
-        """Guards against copies that make a crowd worse: what is late everywhere is no quicker elsewhere."""
-        return self.lates.read(now) > self.CROWDED * (self.ends.read(now) + 1.0)
-
-    def ended(self, late: bool, out: int, now: float) -> None:
-        """Learn from a push's end, still in `out`, how many may be out. Guards against all nodes' jam."""
-        self.ends.add(1.0, now)
-        self.lates.add(1.0 if late else 0.0, now)
-        share = self.lates.read(now) / (self.ends.read(now) + 1.0)
-        since, self.ended_at = min(now - self.ended_at, 1.0), now
-        if share > self.MANY_LATE:
-            if now - self.cut_at > self.PAUSE * self.ends.span:
-                # From what is out: a room that nothing filled says nothing of what backends bear.
-                room = 0.85 * min(self.concurrency_limit, max(out, self.level(out, now)))
-                self.concurrency_limit, self.cut_at = max(room, self.LEAST_ROOM * self.backend_share), now
-        elif not late and max(out, self.level(out, now)) >= self.OPEN * self.concurrency_limit:
-            if share < self.CROWDED and self.backend_share:
-                self.borne.add(self.level(out, now) / self.backend_share, now)
-            most = max(self.MORE * self.borne.read(now), self.MOST_ROOM) * self.backend_share
+        wait_share = self.MIN_WAIT_SHARE + (self.MAX_WAIT_SHARE - self.MIN_WAIT_SHARE) * rank
+        # Without its own cost: a heavy invocation is no sign of congestion.
+        return wait - active.cost > wait_share * active.offering.target_time
+
+    def congested(self, now: float) -> bool:
+        """Whether hedged copies would only add load: what is late everywhere is no quicker elsewhere."""
+        return self.late_count.read(now) > self.CONGESTED_LATE_RATIO * (self.end_count.read(now) + 1.0)
+
+    def on_push_ended(self, late: bool, in_flight: int, now: float) -> None:
+        """Adapt the limit at the end of a push, which `in_flight` still counts.
+
+        This keeps all nodes together from filling the backends' queues.
+        """
+        self.end_count.add(1.0, now)
+        self.late_count.add(1.0 if late else 0.0, now)
+        late_ratio = self.late_count.read(now) / (self.end_count.read(now) + 1.0)
+        elapsed, self.ended_at = min(now - self.ended_at, 1.0), now
+        if late_ratio > self.MAX_LATE_RATIO:
+            if now - self.decreased_at > self.DECREASE_PAUSE * self.end_count.time_constant:
+                # Lowered from what is in flight: a limit that was not reached tells nothing of what backends
+                # sustain.
+                limit = 0.85 * min(self.concurrency_limit, max(in_flight, self.update_mean(in_flight, now)))
+                self.concurrency_limit, self.decreased_at = (
+                    max(limit, self.MIN_LIMIT_PER_BACKEND * self.backend_share),
+                    now,
+                )
+        elif (
+            not late
+            and max(in_flight, self.update_mean(in_flight, now)) >= self.OPEN_SHARE * self.concurrency_limit
+        ):
+            if late_ratio < self.CONGESTED_LATE_RATIO and self.backend_share:
+                self.sustained_in_flight.add(self.update_mean(in_flight, now) / self.backend_share, now)
+            max_limit = (
+                max(self.MAX_SUSTAINED_RATIO * self.sustained_in_flight.read(now), self.MAX_LIMIT_PER_BACKEND)
+                * self.backend_share
+            )
             self.concurrency_limit = min(
                 self.concurrency_limit
-                + max(self.GROWTH * self.backend_share, self.SWIFT * self.concurrency_limit) * since,
-                most,
+                + max(
+                    self.GROWTH_PER_BACKEND * self.backend_share, self.GROWTH_RATIO * self.concurrency_limit
+                )
+                * elapsed,
+                max_limit,
             )
 
 
 class OverloadController:
-    """What to turn away unread: an integral control against a node short of its core, reading all late."""
+    """Sheds unread invocations while the node itself is short of CPU: an integral control on the read delay.
 
-    AIM = 0.25  # of the shortest target time may pass before what came is read: enough to see, little to lose
-    RISE, FALL = 2.0, 1.0  # a second, at twice the aim and with nothing late: both within some tenths of one
-    SPAN = 0.03  # seconds at most that one sight counts for, as between two timers: a stall is no load
+    Without it such a node would read everything late and answer nothing in time.
+    """
+
+    # Of the shortest target time: the delay aimed at before input is read. Enough to measure, little to lose.
+    TARGET_DELAY_SHARE = 0.25
+    # Change of the pressure in a second, at twice the target and at no delay: both act within some tenths.
+    RISE_PER_SECOND, FALL_PER_SECOND = 2.0, 1.0
+    MAX_STEP_SECONDS = (
+        0.03  # what one observation counts for at most, as between two timers: a stall is no load
+    )
 
-    def __init__(self, aim: float = 1.0) -> None:
-        self.aim, self.pressure, self.at = self.AIM * aim, 0.0, 0.0
+    def __init__(self, target_delay: float = 1.0) -> None:
+        self.target_delay, self.pressure, self.updated_at = self.TARGET_DELAY_SHARE * target_delay, 0.0, 0.0
 
-    def observe(self, late: float, now: float) -> None:
-        span, self.at = min(now - self.at, self.SPAN), max(now, self.at)
-        error = min(late / self.aim - 1.0, 1.0)
-        step = span * error * (self.RISE if error > 0.0 else self.FALL)
+    def observe(self, delay: float, now: float) -> None:
+        """Adapt the pressure to a read delay of so many seconds."""
+        step_seconds, self.updated_at = (
+            min(now - self.updated_at, self.MAX_STEP_SECONDS),
+            max(now, self.updated_at),
+        )
+        error = min(delay / self.target_delay - 1.0, 1.0)
+        step = step_seconds * error * (self.RISE_PER_SECOND if error > 0.0 else self.FALL_PER_SECOND)
         self.pressure = min(max(self.pressure + step, 0.0), 1.0)
 
-    def should_shed(self, rank: float, chance: Random) -> bool:
-        """The least utility first: at a half of the pressure all of it, at the whole all there is."""
-        return self.pressure > 0.0 and chance.random() < 2.0 * self.pressure - rank
+    def should_shed(self, rank: float, rng: Random) -> bool:
+        """Shed the least utility first: all of it at a pressure of one half, everything at one."""
+        return self.pressure > 0.0 and rng.random() < 2.0 * self.pressure - rank
 
 
-class Retries:
+class RetryPolicy:
     """How often an invocation may be pushed again."""
 
-    # Where none is stated: a dead backend's share of a second or so, and the field's usual share.
-    BUDGET = api.RetryBudgetRule(floor=10.0, ratio=0.2, window=10.0)
+    # Where the site states none: a dead backend's share of a second or so, and the customary ratio.
+    DEFAULT_BUDGET = api.RetryBudgetRule(floor=10.0, ratio=0.2, window=10.0)
 
-    max_pushes, top = 1, 1.0
+    max_pushes, max_utility = 1, 1.0
 
-    def allows(self, live: Live) -> bool:
-        """The least utility gets one further push, the most all that is permitted, one that flows none."""
-        most = 2 + round((self.max_pushes - 2) * min(live.offering.utility / self.top, 1.0))
-        return not live.inv.streaming and len(live.pushes) < most
+    def allows(self, active: ActiveInvocation) -> bool:
+        """The least utility gets one further push, the most all that are permitted, a streaming one none."""
+        max_pushes = 2 + round((self.max_pushes - 2) * min(active.offering.utility / self.max_utility, 1.0))
+        return not active.invocation.streaming and len(active.pushes) < max_pushes
 
 
-class Live:
-    """An invocation in this node's hands."""
+class ActiveInvocation:
+    """An invocation that this node has taken and not finished with."""
 
-    def __init__(self, inv: Invocation, offering: Offering, cost: float, now: float) -> None:
-        self.inv, self.offering, self.cost, self.kind = inv, offering, cost, (offering.name, "")
-        self.cut_off = now + inv.time_left
+    def __init__(self, invocation: Invocation, offering: Offering, cost: float, now: float) -> None:
+        self.invocation, self.offering, self.cost, self.labels = (
+            invocation,
+            offering,
+            cost,
+            (offering.name, ""),
+        )
+        self.cut_off = now + invocation.time_left
         self.pushes: list[Push] = []
-        # What a tagged one's group and window count from, though it may never have run (incident i8af787).
-        self.first: Push | None = None
-        self.open, self.look_at = 0, now
+        # Sets the deduplication domain and starts the window, even if it never ran (incident i8af787).
+        self.first_push: Push | None = None
+        self.in_flight, self.next_check_at = 0, now
         self.answered = self.over_share = self.moving = False  # moving: cancelled to be pushed elsewhere
 
     @property
@@ -724,423 +924,513 @@
         return any(push.outcome is None or not push.outcome.never_ran for push in self.pushes)
 
     @property
-    def until(self) -> float:
-        """When a further attempt has to have begun: a keyed one within the window, once it may have run."""
+    def push_deadline(self) -> float:
+        """By when a further push must have begun: for a tagged one that may have run, within its window."""
         if self.offering.idempotency is Idempotency.REPEATABLE or not self.may_have_run:
             return inf
         return (
             -inf
             if self.offering.idempotency is Idempotency.ONCE_ONLY
-            else self.first.sent + self.offering.dedup_window
+            else self.first_push.sent_at + self.offering.dedup_window
         )
 
 
 class Node:
-    """One balancer node: a method for each thing that can happen."""
+    """One balancer node. The host calls a method for each event that concerns it."""
 
-    INTERVAL = 1.0  # seconds between rebuilds of the rotation, as in the design's source
-    SWEEP = 0.025  # seconds between looks at what is unanswered: a tenth of the shortest usual target time
-    AFAR = 0.3  # of the target time: what another zone must be quicker by, for a crossing has its price
-    LAST_MOMENT, FRESH = 0.005, 0.05  # seconds: no answer takes less; no new report is worth its price before
-    WATCH_AGAIN = 0.25  # seconds on the mean until a watch that failed is begun anew
+    REBUILD_SECONDS = 1.0  # between rebuilds of the rotation
+    SWEEP_SECONDS = 0.025  # between checks of unanswered pushes: a tenth of the shortest usual target time
+    CROSS_ZONE_SHARE = (
+        0.3  # of the target time: another zone must be quicker by this, as crossing zones costs
+    )
+    # No answer takes less; a load report younger than this is not worth the price of a new one.
+    MIN_TIME_LEFT_SECONDS, FRESH_REPORT_SECONDS = 0.005, 0.05
+    WATCH_RETRY_SECONDS = 0.25  # mean delay before a failed watch is begun anew
 
     def __init__(
         self, host: Host, *, seed: int, now: float, limit_per_backend: float = 0.0, **settings: object
     ) -> None:
-        self.host, self.chance = host, Random(seed)
-        self.registry, self.part, self.rotation = BackendRegistry(now), Part(), Rotation(self.chance)
-        self.health, self.admission = Health(self.chance, host.log), AdmissionControl()
-        self.retries, self.core, self.active = Retries(), OverloadController(), {}
-        self.budget = Budget(Retries.BUDGET)
-        self.on_settings(now, **settings)  # room: for each backend, where another process has learned it
-        self.admission.first = min(limit_per_backend, AdmissionControl.MOST_ROOM) or self.admission.first
-        self.asks, self.in_flight, self.began = (
-            0.0,
-            0,
-            now,
-        )  # probes that may be sent; pushes out and not overdue
-        host.set_timer(self.INTERVAL * self.chance.random(), "interval")
-        self.sweeping = False
-        self.list_stale_at = self.deaf_at = inf  # then: deemed told; deaf: by a silence, as its host reckons
+        """Start with `settings`, the fields of `DecisionSettings`.
+
+        `limit_per_backend` is the concurrency limit that another process of this node has learned, 0 if none.
+        """
+        self.host, self.rng = host, Random(seed)
+        self.registry, self.subset, self.rotation = BackendRegistry(now), Subset(), Rotation(self.rng)
+        self.health, self.admission = HealthTracker(self.rng, host.log), AdmissionControl()
+        self.retry_policy, self.overload, self.active = RetryPolicy(), OverloadController(), {}
+        self.retry_budget = RetryBudget(RetryPolicy.DEFAULT_BUDGET)
+        self.on_settings(now, **settings)
+        self.admission.initial_limit = (
+            min(limit_per_backend, AdmissionControl.MAX_LIMIT_PER_BACKEND) or self.admission.initial_limit
+        )
+        # Tokens for load probes; pushes in flight that are not overdue.
+        self.probe_tokens, self.in_flight, self.started_at = 0.0, 0, now
+        host.set_timer(self.REBUILD_SECONDS * self.rng.random(), "interval")
+        self.sweep_pending = False
+        # From when changes that this node has not received bind it; the same by the host's view of the watch.
+        self.list_stale_at = self.silence_stale_at = inf
         if self.must_ask_in < inf:
-            self._watch(now)
+            self._watch_list(now)
 
     def on_settings(self, now: float, **settings: object) -> None:
-        """From now on these hold. What was learned stays; what is in hand keeps the offering it came with."""
-        given = api.DecisionSettings(**settings)
-        self.zone, self.part.rank, self.nodes = given.zone, given.rank, given.nodes
-        self.limits, self.cold, self.must_ask_in = given.limits, given.cold, given.must_ask_in or inf
-        self.offerings = {offering.name: offering for offering in given.offerings}
-        self.ramp = self.registry.ramp = Ramp(self.cold.warm_up, self.cold.initial_capacity)
-        self.budget = self.budget.under(self.limits.retry_budget or Retries.BUDGET, now)
-        self.registry.soft = self.limits.soft_removal
-        self.admission.settle(given)
-        self.retries.max_pushes, self.retries.top = self.limits.max_pushes, self.admission.top
-        self.core.aim = OverloadController.AIM * min(offering.target_time for offering in given.offerings)
-        self.health.first = (
-            self.health.first if self.health.first[0] else (self.core.aim / OverloadController.AIM, now)
+        """Apply new settings. What was learned stays; active invocations keep the offering they came with."""
+        applied = api.DecisionSettings(**settings)
+        self.zone, self.subset.rank, self.nodes = applied.zone, applied.rank, applied.nodes
+        self.limits, self.cold, self.must_ask_in = applied.limits, applied.cold, applied.must_ask_in or inf
+        self.offerings = {offering.name: offering for offering in applied.offerings}
+        self.slow_start = self.registry.slow_start = SlowStart(self.cold.warm_up, self.cold.initial_capacity)
+        self.retry_budget = self.retry_budget.with_rule(
+            self.limits.retry_budget or RetryPolicy.DEFAULT_BUDGET, now
+        )
+        self.registry.soft_removal = self.limits.soft_removal
+        self.admission.configure(applied)
+        self.retry_policy.max_pushes, self.retry_policy.max_utility = (
+            self.limits.max_pushes,
+            self.admission.max_utility,
         )
+        self.overload.target_delay = OverloadController.TARGET_DELAY_SHARE * min(
+            offering.target_time for offering in applied.offerings
+        )
+        self.health.initial_slowest = (
+            self.health.initial_slowest
+            if self.health.initial_slowest[0]
+            else (self.overload.target_delay / OverloadController.TARGET_DELAY_SHARE, now)
+        )
+
+    def on_list(
+        self, now: float, kind: ListKind, entries: list[Entry], silence_stale_at: float = inf
+    ) -> None:
+        """Apply a list, or begin a new watch after a failed one.
 
-    def on_list(self, now: float, kind: ListKind, entries: list[Entry], deaf_at: float = inf) -> None:
+        `silence_stale_at` is when changes that a silent watch may have missed count as received.
+        """
         if kind is ListKind.UNAVAILABLE:
-            # Spread out, or all nodes call a struggling list service in step; soon, since what is new binds.
-            self.deaf_at = deaf_at
-            wait = min(self.WATCH_AGAIN, 0.25 * self.must_ask_in)
-            self.host.set_timer(wait * (0.5 + self.chance.random()), "watch")
-            # A watch that breaks off leaves MustAskIn; a failed call four times that from when it was made.
+            # With jitter, so that nodes do not call a struggling list service in step; soon, as changes bind.
+            self.silence_stale_at = silence_stale_at
+            wait = min(self.WATCH_RETRY_SECONDS, 0.25 * self.must_ask_in)
+            self.host.set_timer(wait * (0.5 + self.rng.random()), "watch")
+            # A node is held to changes MustAskIn after its watch breaks; after a failed call four times that,
+            # counted from the start of the call.
             self.list_stale_at = min(
-                now + self.must_ask_in * (1.0 if self.list_stale_at == inf else 3.0), deaf_at
+                now + self.must_ask_in * (1.0 if self.list_stale_at == inf else 3.0), silence_stale_at
             )
             return
         if kind is not ListKind.RESTORED:
-            self.list_stale_at = self.deaf_at = inf
+            self.list_stale_at = self.silence_stale_at = inf
         self.registry.on_list(kind, entries, now)
         self._rebuild(now)
 
-    def on_invocation(self, now: float, inv: Invocation) -> None:
-        offering = self.offerings[inv.offering]
-        self.budget.taken.add(1, now, now)
-        if inv.time_left <= self.LAST_MOMENT:
-            # Guards against a node short of its core that spends it on what can no longer be answered.
-            self._give_up(Live(inv, offering, 0.0, now), now)
+    def on_invocation(self, now: float, invocation: Invocation) -> None:
+        """Take an invocation: push it, or nack it at once."""
+        offering = self.offerings[invocation.offering]
+        self.retry_budget.invocations.add(1, now, now)
+        if invocation.time_left <= self.MIN_TIME_LEFT_SECONDS:
+            # A node short of CPU must not spend it on what can no longer be answered.
+            self._give_up(ActiveInvocation(invocation, offering, 0.0, now), now)
             return
-        live = Live(inv, offering, self.health.cost(offering, now), now)
-        self.active[inv.id] = live
-        self.admission.came(live, now)
-        backend = self._pick(live, now)
+        active = ActiveInvocation(invocation, offering, self.health.cost(offering, now), now)
+        self.active[invocation.id] = active
+        self.admission.on_arrival(active, now)
+        backend = self._pick(active, now)
         if backend is not None:
-            wait = self.health.wait(backend, live.cost, now)
-            if self.admission.refuses(live, wait, self.in_flight, now, self.health.idle(now)):
-                self._give_up(live, now)
+            wait = self.health.expected_wait(backend, active.cost, now)
+            if self.admission.rejects(active, wait, self.in_flight, now, self.health.cpu_idle(now)):
+                self._give_up(active, now)
                 return
-        # After admission: an ejected backend's own long wait is no reason to turn an invocation away.
-        self._push(live, self._trial(live, now) or backend, now)
-        self._ask_ahead(now)
+        # After admission: the long expected wait of an ejected backend is no reason to reject an invocation.
+        self._push(active, self._trial_backend(active, now) or backend, now)
+        self._probe_for_load(now)
 
     def on_whole(self, now: float, id: str, time_left: float) -> None:
-        """The last byte of one that flows has come: its time begins, and its push is under way."""
-        if (live := self.active.get(id)) is not None and live.open:
-            live.cut_off, push = now + time_left, live.pushes[-1]
-            push.sent = now
-            self.health.view(push.backend).put(live, push)
+        """The last byte of a streaming invocation has come: its time starts, and its push is in flight."""
+        if (active := self.active.get(id)) is not None and active.in_flight:
+            active.cut_off, push = now + time_left, active.pushes[-1]
+            push.sent_at = now
+            self.health.stats_of(push.backend).add_push(active, push)
 
-    def on_late(self, now: float, late: float) -> None:
-        """The host came to something so many seconds too late."""
-        self.core.observe(late, now)
+    def on_late(self, now: float, delay: float) -> None:
+        """The host handled something so many seconds late."""
+        self.overload.observe(delay, now)
 
     def shed_unread(self, now: float, offering: str, time_left: float, waited: float) -> float | None:
-        """When to come back, for what lay unread, never pushed, and is not to be read; None: it is taken."""
-        self.core.observe(waited, now)
+        """Decide on an invocation that is not yet read.
+
+        Returns the seconds after which its client may retry if it is shed, or None if it is to be read.
+        """
+        self.overload.observe(waited, now)
         offering = self.offerings[offering]
-        rank = self.admission.standing(offering, self.health.cost(offering, now))
-        taken = time_left > self.LAST_MOMENT and not self.core.should_shed(rank, self.chance)
-        return None if taken else self._come_back(offering)
+        rank = self.admission.offering_rank(offering, self.health.cost(offering, now))
+        accepted = time_left > self.MIN_TIME_LEFT_SECONDS and not self.overload.should_shed(rank, self.rng)
+        return None if accepted else self._retry_after(offering)
 
     def on_push_ended(
-        self, now: float, id: str, number: int, outcome: Outcome, took: float, last: bool,
+        self, now: float, id: str, number: int, outcome: Outcome, elapsed: float, final: bool,
         report: api.LoadReport = api.NO_REPORT,
     ) -> None:  # fmt: skip
-        live = self.active.get(id)
-        if live is None or number >= len(live.pushes) or live.pushes[number].outcome is not None:
+        """A push ended after `elapsed` seconds; `final`: its client has its answer or is gone."""
+        active = self.active.get(id)
+        if active is None or number >= len(active.pushes) or active.pushes[number].outcome is not None:
             return
-        push, view = live.pushes[number], self.health.view(live.pushes[number].backend)
+        push, stats = active.pushes[number], self.health.stats_of(active.pushes[number].backend)
         push.outcome = outcome
         if report.cpu_utilization is not None:
-            self.health.busy.add(report.cpu_utilization, now)
-            view.busy, view.busy_at = report.cpu_utilization, now
-        live.open -= 1
+            self.health.cpu_utilization.add(report.cpu_utilization, now)
+            stats.cpu_utilization, stats.cpu_reported_at = report.cpu_utilization, now
+        active.in_flight -= 1
         if outcome is Outcome.NOT_SENT and number:
-            self.budget.further.add(-1, push.sent, now)
+            self.retry_budget.extra_pushes.add(-1, push.sent_at, now)
         timed_out = outcome is Outcome.TIMED_OUT
-        tells_not = (
-            self.limits.probes_per_invocation and view.cause or timed_out and push.overtaken >= Health.LOST
+        # An ejected backend, or a lost response, says nothing of how much load the others sustain.
+        unrelated = (
+            self.limits.probes_per_invocation
+            and stats.ejection_cause
+            or timed_out
+            and push.overtaken >= HealthTracker.LOST_OVERTAKES
         )
-        if (outcome is Outcome.COMPLETED or timed_out) and not (tells_not or self.health.drag(live, now)):
-            in_time = push.cost + self.admission.late * live.offering.target_time
-            late = (timed_out or took > in_time) and not self.health.idle(now)
-            self.admission.ended(late, self.in_flight, now)
-        self._count_off(push, now)
-        cause = self.health.ended((id, number), push, live.offering, now)
-        self._readmitted(push.backend, cause, now)
-        if last and not live.answered:
-            live.answered = True
-            self._cancel_rest(live)
-        if not live.answered and not live.open:
-            self._push_again(live, now)
-        self._forget(live)
+        if (outcome is Outcome.COMPLETED or timed_out) and not (
+            unrelated or self.health.dependency_delay(active, now)
+        ):
+            in_time = push.cost + self.admission.late_share * active.offering.target_time
+            late = (timed_out or elapsed > in_time) and not self.health.cpu_idle(now)
+            self.admission.on_push_ended(late, self.in_flight, now)
+        self._release(push, now)
+        cause = self.health.on_push_ended((id, number), push, active.offering, now)
+        self._on_readmitted(push.backend, cause, now)
+        if final and not active.answered:
+            active.answered = True
+            self._cancel_pushes(active)
+        if not active.answered and not active.in_flight:
+            self._push_again(active, now)
+        self._forget_if_done(active)
 
     def on_answer_started(self, now: float, id: str, number: int) -> None:
-        """From here on the push is the client's: it is neither looked at nor moved."""
+        """The client is receiving the answer: from here on the push is neither hedged nor moved."""
         if id in self.active:
-            self.active[id].look_at = inf
+            self.active[id].next_check_at = inf
 
     def on_client_gone(self, now: float, id: str) -> None:
-        if (live := self.active.get(id)) is not None:
-            live.answered = True
-            self._cancel_rest(live)
-            self._forget(live)
+        """The client has left: cancel what is in flight for it."""
+        if (active := self.active.get(id)) is not None:
+            active.answered = True
+            self._cancel_pushes(active)
+            self._forget_if_done(active)
 
     def on_lost(self, now: float, id: str) -> None:
-        """Strike off what its host has ended. Guards against pushes out for ever that look like a hang."""
-        live = self.active.pop(id, None)
-        for number, push in enumerate(live.pushes if live else ()):
-            view = self.health.view(push.backend)
-            if view.in_flight.pop((id, number), None):
-                view.work = view.work - push.cost if view.in_flight else 0.0
-            self._count_off(push, now)
+        """Forget an invocation that its host has ended; its pushes would look like a hung backend."""
+        active = self.active.pop(id, None)
+        for number, push in enumerate(active.pushes if active else ()):
+            stats = self.health.stats_of(push.backend)
+            if stats.in_flight.pop((id, number), None):
+                stats.outstanding_work = stats.outstanding_work - push.cost if stats.in_flight else 0.0
+            self._release(push, now)
 
     def on_probe_ended(self, now: float, id: str, outcome: Outcome, report: api.LoadReport) -> None:
+        """A probe of the backend `id` ended, with a load report or `NO_REPORT`."""
         backend = self.registry.backends.get(id)
         if backend is not None:
-            self.health.reported(backend, report, now)
-            self._readmitted(backend, self.health.probed(backend, outcome, now), now)
+            self.health.on_report(backend, report, now)
+            self._on_readmitted(backend, self.health.on_probe_ended(backend, outcome, now), now)
 
     def on_timer(self, now: float, name: str) -> None:
+        """A timer set through the host is due."""
         if name == "sweep":
-            self.sweeping = False
+            self.sweep_pending = False
             self._sweep(now)
-            self._sweep_soon()
+            self._schedule_sweep()
         elif name == "interval":
-            self.host.set_timer(self.INTERVAL, "interval")
+            self.host.set_timer(self.REBUILD_SECONDS, "interval")
             self._rebuild(now)
-            self._probe(now)
+            self._probe_ejected(now)
         elif name == "watch":
-            self._watch(now)
+            self._watch_list(now)
 
-    def may_push(self, live: Live, backend: Backend, now: float) -> bool:
+    def may_push(self, active: ActiveInvocation, backend: Backend, now: float) -> bool:
         """Whether the rules let this invocation go to this backend now."""
-        # What has drained since a node went blind is not known to it, and deemed told.
+        # Backends that began to drain once the list is stale are unknown here, yet count as announced.
         if (
-            live.answered
+            active.answered
             or not backend.usable
-            or now >= min(live.cut_off - self.LAST_MOMENT, self.list_stale_at)
+            or now >= min(active.cut_off - self.MIN_TIME_LEFT_SECONDS, self.list_stale_at)
         ):
             return False
-        most = 1 if live.inv.streaming else self.limits.max_pushes  # what was let go is not there any more
-        twice = live.open and not self.limits.hedging
-        if live.pushes and (twice or len(live.pushes) >= most or not self.budget.allows(now)):
+        max_pushes = 1 if active.invocation.streaming else self.limits.max_pushes  # a sent body is not kept
+        concurrent = active.in_flight and not self.limits.hedging
+        if active.pushes and (
+            concurrent or len(active.pushes) >= max_pushes or not self.retry_budget.allows(now)
+        ):
             return False
-        group, until = live.offering.dedup_scope, live.until
-        elsewhere = until < inf and backend.group(group) != live.first.backend.group(group)
-        if now >= until - self.LAST_MOMENT or elsewhere:
+        scope, deadline = active.offering.dedup_scope, active.push_deadline
+        elsewhere = deadline < inf and backend.dedup_domain(scope) != active.first_push.backend.dedup_domain(
+            scope
+        )
+        if now >= deadline - self.MIN_TIME_LEFT_SECONDS or elsewhere:
             return False
-        return backend.ramp_start is None or self._cold_budget_left(backend, live.cost, now)
+        return backend.ramp_start is None or self._cold_budget_allows(backend, active.cost, now)
 
-    def may_nack(self, live: Live) -> bool:
+    def may_nack(self, active: ActiveInvocation) -> bool:
         """Whether a nack, which tells the client that a repeat is harmless, would be true."""
-        anywhere = live.offering.idempotency is Idempotency.TAGGED and live.offering.dedup_scope == "all"
-        return not live.answered and (anywhere or live.until == inf)
+        dedup_anywhere = (
+            active.offering.idempotency is Idempotency.TAGGED and active.offering.dedup_scope == "all"
+        )
+        return not active.answered and (dedup_anywhere or active.push_deadline == inf)
 
     def _cold_rate(self, backend: Backend, now: float) -> float:
-        """This node's part of the work a second that a cold backend bears."""
-        largest = max((seat.backend.weight or 1.0 for seat in self.rotation.seats), default=1.0) or 1.0
+        """This node's part of the work a second that a backend in slow start bears."""
+        largest = max((entry.backend.weight or 1.0 for entry in self.rotation.entries), default=1.0) or 1.0
         size = 1.0 if backend.weight is None else min(1.0, (backend.weight or largest) / largest)
-        # Half, since costs scatter and the ramp may run at up to twice the surest capacity; of that, N, three
-        # quarters at most: many nodes' chances, of mean M, spread by root of M, and from 0.75 N it is four of
-        # these or more, whatever N is, to N + 2 root of N + 2, which is borne.
-        half = 0.5 * self.ramp.ratio(backend, now)
-        return min(half, 0.75 * max(half, self.ramp.floor)) * self.cold.overload_multiple * size / self.nodes
-
-    def _cold_budget_left(self, backend: Backend, cost: float, now: float) -> bool:
-        """Whether that part, over any window of the rule's length, has room for this or is yet unused."""
-        sent = self.health.view(backend).cold
+        # Half, since costs vary and the ramp may run at up to twice the capacity that is certain. Of that, N
+        # pushes, three quarters at most: where many nodes admit pushes by chance, their number spreads around
+        # its mean M by the root of M, and from 0.75 N it is four of these or more, whatever N is, to
+        # N + 2 * sqrt(N) + 2, which the backend bears.
+        half = 0.5 * self.slow_start.ratio(backend, now)
+        return (
+            min(half, 0.75 * max(half, self.slow_start.initial_ratio))
+            * self.cold.overload_multiple
+            * size
+            / self.nodes
+        )
+
+    def _cold_budget_allows(self, backend: Backend, cost: float, now: float) -> bool:
+        """Whether that part, over any window of the rule's length, has room for `cost` or is unused."""
+        sent = self.health.stats_of(backend).cold_pushes
         while sent and sent[0][0] <= now - self.cold.overload_window:
             sent.popleft()
         spent = sum(spent for _, spent in sent) + cost
         return not sent or spent <= self._cold_rate(backend, now) * self.cold.overload_window
 
-    def _lets(self, backend: Backend, share: float, cost: float, now: float) -> bool:
-        """Guards against hundreds of first attempts to a cold backend, which this share of all that comes
-        would reach otherwise: a part too small for one goes by chance."""
-        part, often = (
+    def _admits_cold(self, backend: Backend, share: float, cost: float, now: float) -> bool:
+        """Admit pushes to a backend in slow start by chance where this node's part is too small for one.
+
+        Otherwise the first pushes of hundreds of nodes would overload it. `share` is the part of all traffic
+        that would reach it.
+        """
+        part, frequency = (
             self._cold_rate(backend, now),
-            max(self._rate(now), share / self.cold.overload_window) * share,
+            max(self._arrival_rate(now), share / self.cold.overload_window) * share,
         )
-        return part * self.cold.overload_window >= cost or self.chance.random() * cost * often < part
+        return part * self.cold.overload_window >= cost or self.rng.random() * cost * frequency < part
 
-    def _rate(self, now: float) -> float:
-        """Invocations a second, also of a node that has only begun to count them."""
-        return self.admission.rate(now) / (1.0 - exp(min(self.began - now, -0.05) / AdmissionControl.LONGEST))
+    def _arrival_rate(self, now: float) -> float:
+        """Invocations a second, corrected for a node that has only begun to count them."""
+        return self.admission.arrival_rate(now) / (
+            1.0 - exp(min(self.started_at - now, -0.05) / AdmissionControl.MAX_SPAN_SECONDS)
+        )
 
-    def _watch(self, now: float) -> None:
-        self.list_stale_at = min(now + self.must_ask_in, self.deaf_at)
+    def _watch_list(self, now: float) -> None:
+        self.list_stale_at = min(now + self.must_ask_in, self.silence_stale_at)
         self.host.watch_list()
 
-    def _push(self, live: Live, backend: Backend | None, now: float) -> None:
-        if backend is None or not self.may_push(live, backend, now):
-            self._give_up(live, now)
+    def _push(self, active: ActiveInvocation, backend: Backend | None, now: float) -> None:
+        if backend is None or not self.may_push(active, backend, now):
+            self._give_up(active, now)
             return
-        view, until = self.health.view(backend), live.until - self.LAST_MOMENT
-        ahead = self.health.load(view, live.cost, now) - live.cost
-        idle = view.work < 0.1 * live.cost and view.others < 1.0
-        push = Push(backend, now, live.cost, ahead, idle)
-        push.kind, push.drag = live.kind, self.health.drag(live, now)
-        live.first = push if until == inf else live.first
-        self.budget.further.add(1 if live.pushes else 0, now, now)
-        live.pushes.append(push)
-        live.open += 1
-        self.admission.level(self.in_flight, now)
+        stats, deadline = (
+            self.health.stats_of(backend),
+            active.push_deadline - self.MIN_TIME_LEFT_SECONDS,
+        )
+        queued_work = self.health.expected_work(stats, active.cost, now) - active.cost
+        idle = stats.outstanding_work < 0.1 * active.cost and stats.others_in_flight < 1.0
+        push = Push(backend, now, active.cost, queued_work, idle)
+        push.labels, push.dependency_delay = active.labels, self.health.dependency_delay(active, now)
+        active.first_push = push if deadline == inf else active.first_push
+        self.retry_budget.extra_pushes.add(1 if active.pushes else 0, now, now)
+        active.pushes.append(push)
+        active.in_flight += 1
+        self.admission.update_mean(self.in_flight, now)
         self.in_flight += 1
-        live.moving = False
-        # Twice what it should take and a tenth of a second: by then most answers are in.
-        live.look_at = now + 2.0 * (self.health.wait(backend, live.cost, now) + push.drag) + 0.1
-        if not live.inv.streaming:
-            view.put(live, push)
+        active.moving = False
+        # Twice the expected wait and a tenth of a second: most answers have come by then.
+        active.next_check_at = (
+            now + 2.0 * (self.health.expected_wait(backend, active.cost, now) + push.dependency_delay) + 0.1
+        )
+        if not active.invocation.streaming:
+            stats.add_push(active, push)
         if backend.ramp_start is not None:
-            view.cold.append((now, live.cost))
-        if view.cause:
-            view.trial = True
-        self.host.push(live.inv.id, backend.id, live.cut_off - now, until - now)
-        self._sweep_soon()
+            stats.cold_pushes.append((now, active.cost))
+        if stats.ejection_cause:
+            stats.trial_in_flight = True
+        self.host.push(active.invocation.id, backend.id, active.cut_off - now, deadline - now)
+        self._schedule_sweep()
 
-    def _pick(self, live: Live, now: float) -> Backend | None:
-        tried = {push.backend.id for push in live.pushes}
-        crowded = self.health.crowded_out(self.rotation.seats)
+    def _pick(self, active: ActiveInvocation, now: float) -> Backend | None:
+        tried = {push.backend.id for push in active.pushes}
+        panic = self.health.in_panic(self.rotation.entries)
 
         def allowed(backend: Backend) -> bool:
-            if backend.id in tried or not self.health.pickable(backend, now, crowded):
+            if backend.id in tried or not self.health.pickable(backend, now, panic):
                 return False
-            return self.may_push(live, backend, now)
+            return self.may_push(active, backend, now)
 
-        # The price of a crossing is no reason to nack, or to be late, beside a zone with room to spare.
-        afar = 0.0 if self.admission.crowded(now) else self.AFAR * live.offering.target_time
+        # The price of crossing zones must not cause nacks or late answers beside a zone with room to spare.
+        cross_zone = (
+            0.0 if self.admission.congested(now) else self.CROSS_ZONE_SHARE * active.offering.target_time
+        )
 
         def wait(backend: Backend) -> float:
-            return self.health.wait(backend, live.cost, now) + (afar if backend.zone != self.zone else 0.0)
+            return self.health.expected_wait(backend, active.cost, now) + (
+                cross_zone if backend.zone != self.zone else 0.0
+            )
 
-        return self.rotation.pick(allowed, wait, lambda one, share: self._lets(one, share, live.cost, now))
+        return self.rotation.pick(
+            allowed, wait, lambda backend, share: self._admits_cold(backend, share, active.cost, now)
+        )
 
-    def _trial(self, live: Live, now: float) -> Backend | None:
-        """An ejected backend whose time is up gets one repeatable invocation, or first a probe."""
+    def _trial_backend(self, active: ActiveInvocation, now: float) -> Backend | None:
+        """An ejected backend that is due for a trial with this invocation, which must be repeatable."""
         if (
-            not self.health.ejected
-            or live.offering.idempotency is not Idempotency.REPEATABLE
+            not self.health.ejected_count
+            or active.offering.idempotency is not Idempotency.REPEATABLE
             or self.limits.probes_per_invocation
         ):
             return None
-        due = (seat.backend for seat in self.rotation.seats if self.health.trial_due(seat.backend, now))
-        return next((backend for backend in due if self.may_push(live, backend, now)), None)
+        due = (entry.backend for entry in self.rotation.entries if self.health.trial_due(entry.backend, now))
+        return next((backend for backend in due if self.may_push(active, backend, now)), None)
 
-    def _push_again(self, live: Live, now: float) -> None:
-        """Nothing is out any more and there is no answer: push on if that is allowed, or give up at once."""
-        self._push(live, self._pick(live, now) if self.retries.allows(live) else None, now)
+    def _push_again(self, active: ActiveInvocation, now: float) -> None:
+        """Retry when nothing is in flight and no answer came, or give up at once if that is not allowed."""
+        self._push(active, self._pick(active, now) if self.retry_policy.allows(active) else None, now)
 
-    def _give_up(self, live: Live, now: float) -> None:
-        if live.open or live.answered:
+    def _give_up(self, active: ActiveInvocation, now: float) -> None:
+        if active.in_flight or active.answered:
             return
-        if self.may_nack(live):
-            self.host.nack(live.inv.id, self._come_back(live.offering))
+        if self.may_nack(active):
+            self.host.nack(active.invocation.id, self._retry_after(active.offering))
         else:
-            self.host.terminate(live.inv.id)
-        live.answered = True
-        self._forget(live)
+            self.host.terminate(active.invocation.id)
+        active.answered = True
+        self._forget_if_done(active)
 
-    def _come_back(self, offering: Offering) -> float:
-        """Long enough for a queue to move on, short enough for a late answer; spread over the clients."""
-        return min(offering.target_time * (0.25 + 0.5 * self.chance.random()), self.limits.max_retry_after)
+    def _retry_after(self, offering: Offering) -> float:
+        """Seconds long enough for a queue to move on, short enough for a late answer; spread over clients."""
+        return min(offering.target_time * (0.25 + 0.5 * self.rng.random()), self.limits.max_retry_after)
 
-    def _cancel_rest(self, live: Live) -> None:
-        if live.open and self.limits.cancellation:
-            for number, push in enumerate(live.pushes):
+    def _cancel_pushes(self, active: ActiveInvocation) -> None:
+        if active.in_flight and self.limits.cancellation:
+            for number, push in enumerate(active.pushes):
                 if push.outcome is None:
-                    self.host.cancel(live.inv.id, number)
+                    self.host.cancel(active.invocation.id, number)
 
-    def _forget(self, live: Live) -> None:
-        if live.answered and not live.open:
-            self.active.pop(live.inv.id, None)
+    def _forget_if_done(self, active: ActiveInvocation) -> None:
+        if active.answered and not active.in_flight:
+            self.active.pop(active.invocation.id, None)
 
-    def _count_off(self, push: Push, now: float) -> None:
+    def _release(self, push: Push, now: float) -> None:
+        """Stop counting a push against the concurrency limit."""
         if push.counted:
-            self.admission.level(self.in_flight, now)
+            self.admission.update_mean(self.in_flight, now)
             self.in_flight -= 1
             push.counted = False
 
-    def _sweep_soon(self) -> None:
-        """Idle nodes sleep: with hundreds of them the looks at nothing would cost more than the decisions."""
-        if self.active and not self.sweeping:
-            self.sweeping = True
-            self.host.set_timer(self.SWEEP, "sweep")
+    def _schedule_sweep(self) -> None:
+        """Sweep only while there is work: for hundreds of idle nodes it costs more than decisions."""
+        if self.active and not self.sweep_pending:
+            self.sweep_pending = True
+            self.host.set_timer(self.SWEEP_SECONDS, "sweep")
 
     def _sweep(self, now: float) -> None:
-        self.health.look([seat.backend for seat in self.rotation.seats], now)
-        for live in list(self.active.values()):
-            for push in live.pushes:
-                # Guards against a few backends that keep what they get and so fill the room for all others.
-                gone = self.limits.probes_per_invocation and self.health.view(push.backend).cause == "hung"
-                # What waits on others holds no core: its room is free once it would else have been answered.
-                most = push.ahead + push.cost if push.drag else live.offering.target_time
-                if push.counted and (gone or now - push.sent > most):
-                    self._count_off(push, now)
-            if now >= live.look_at and live.open == 1 and not live.answered and not live.moving:
-                self._look_again(live, now)
-        self._probe(now)
-
-    def _probe(self, now: float) -> None:
-        for seat in self.rotation.seats if self.limits.probes and self.health.ejected else ():
-            view = self.health.view(seat.backend)
-            probed = view.cause in ("dead", "hung") or self.limits.probes_per_invocation
-            if probed and self.health.trial_due(seat.backend, now):
-                view.trial = True
-                self.host.probe(seat.backend.id)
-
-    def _ask_ahead(self, now: float) -> None:
-        """Probe those whose turns come next and of which nothing fresh is known, as the price allows."""
-        self.asks = min(
-            self.asks + self.limits.probes_per_invocation, max(2.0 * self.limits.probes_per_invocation, 1.0)
+        self.health.eject_silent([entry.backend for entry in self.rotation.entries], now)
+        for active in list(self.active.values()):
+            for push in active.pushes:
+                # A few backends that hold on to what they get must not use up the limit for all others.
+                hung = (
+                    self.limits.probes_per_invocation
+                    and self.health.stats_of(push.backend).ejection_cause == "hung"
+                )
+                # What waits on a dependency uses no core: it is released when it would have been answered
+                # without that wait.
+                max_seconds = (
+                    push.queued_work + push.cost if push.dependency_delay else active.offering.target_time
+                )
+                if push.counted and (hung or now - push.sent_at > max_seconds):
+                    self._release(push, now)
+            if (
+                now >= active.next_check_at
+                and active.in_flight == 1
+                and not active.answered
+                and not active.moving
+            ):
+                self._hedge_or_move(active, now)
+        self._probe_ejected(now)
+
+    def _probe_ejected(self, now: float) -> None:
+        for entry in self.rotation.entries if self.limits.probes and self.health.ejected_count else ():
+            stats = self.health.stats_of(entry.backend)
+            by_probe = stats.ejection_cause in ("dead", "hung") or self.limits.probes_per_invocation
+            if by_probe and self.health.trial_due(entry.backend, now):
+                stats.trial_in_flight = True
+                self.host.probe(entry.backend.id)
+
+    def _probe_for_load(self, now: float) -> None:
+        """Probe the backends that are next in turn and have no fresh load report, as the price allows."""
+        self.probe_tokens = min(
+            self.probe_tokens + self.limits.probes_per_invocation,
+            max(2.0 * self.limits.probes_per_invocation, 1.0),
         )
-        for seat in self.rotation.seats if self.asks >= 1.0 else ():
-            view = self.health.view(seat.backend)
-            if view.asked is None and not view.cause and now - view.told > self.FRESH and self.asks >= 1.0:
-                self.asks, view.asked = self.asks - 1.0, now
-                self.host.probe(seat.backend.id)
-
-    def _look_again(self, live: Live, now: float) -> None:
-        """A push that takes long on a backend gone silent: a second copy, or the same push elsewhere."""
-        number, push = next((n, push) for n, push in enumerate(live.pushes) if push.outcome is None)
-        view, offering = self.health.view(push.backend), live.offering
-        may = self.retries.allows(live) and self.budget.allows(now)
-        if view.answered > push.sent and not view.cause or not may:
+        for entry in self.rotation.entries if self.probe_tokens >= 1.0 else ():
+            stats = self.health.stats_of(entry.backend)
+            if (
+                stats.probe_sent_at is None
+                and not stats.ejection_cause
+                and now - stats.reported_at > self.FRESH_REPORT_SECONDS
+                and self.probe_tokens >= 1.0
+            ):
+                self.probe_tokens, stats.probe_sent_at = self.probe_tokens - 1.0, now
+                self.host.probe(entry.backend.id)
+
+    def _hedge_or_move(self, active: ActiveInvocation, now: float) -> None:
+        """Hedge a push that takes long at a silent backend, or cancel it in order to push elsewhere."""
+        number, push = next((n, push) for n, push in enumerate(active.pushes) if push.outcome is None)
+        stats, offering = self.health.stats_of(push.backend), active.offering
+        may_retry = self.retry_policy.allows(active) and self.retry_budget.allows(now)
+        if stats.last_response_at > push.sent_at and not stats.ejection_cause or not may_retry:
             return
         if self.limits.hedging and offering.idempotency is not Idempotency.ONCE_ONLY:
-            backend = None if self.admission.crowded(now) else self._pick(live, now)
+            backend = None if self.admission.congested(now) else self._pick(active, now)
             if backend is not None:
-                self._push(live, backend, now)
+                self._push(active, backend, now)
             return
-        if self.limits.probes_per_invocation and not view.cause:
-            # Guards against moves off sound backends, whose work goes on: a probe that stays out tells.
-            if view.asked is None:
-                view.asked = now
+        if self.limits.probes_per_invocation and not stats.ejection_cause:
+            # A healthy backend goes on with the work of a push that was moved off it; only a probe that stays
+            # unanswered shows that the backend is silent.
+            if stats.probe_sent_at is None:
+                stats.probe_sent_at = now
                 self.host.probe(push.backend.id)
-            if now - view.asked < Health.SILENT_PROBE:
+            if now - stats.probe_sent_at < HealthTracker.PROBE_SILENCE_SECONDS:
                 return
         anywhere = offering.idempotency is Idempotency.REPEATABLE or offering.dedup_scope == "all"
-        if self.limits.cancellation and anywhere and now < live.until - 4.0 * self.SWEEP:
-            live.moving = True
-            self.host.cancel(live.inv.id, number)
+        if self.limits.cancellation and anywhere and now < active.push_deadline - 4.0 * self.SWEEP_SECONDS:
+            active.moving = True
+            self.host.cancel(active.invocation.id, number)
 
-    def _readmitted(self, backend: Backend, cause: str, now: float) -> None:
+    def _on_readmitted(self, backend: Backend, cause: str, now: float) -> None:
         if cause:
-            view = self.health.view(backend)
-            # Guards against sound backends ramped for broken connections: a new process refused some first.
-            self.registry.back(backend, view.since, cause == "dead" and view.refused, now)
-            view.refused = False
+            stats = self.health.stats_of(backend)
+            # Broken connections alone do not show a new process, and so no slow start: one that restarts
+            # refuses some connections first.
+            self.registry.on_readmitted(
+                backend, stats.ejected_at, cause == "dead" and stats.connect_failed, now
+            )
+            stats.connect_failed = False
             self._rebuild(now)
 
     def _rebuild(self, now: float) -> None:
-        everyone, rate = self.registry.usable, self.admission.rate(now)
-        backends = self.part.of(everyone, rate, lambda backend: self.health.pickable(backend, now))
-        self.health.remember(backends, rate)
-        for backend in everyone:
-            if backend.lapsed and self.health.view(backend).cause == "dead":
-                self.registry.leave(backend, now, dead=True)
-            if backend.ramp_start is not None and now - backend.ramp_start >= self.ramp.length:
+        usable, rate = self.registry.usable, self.admission.arrival_rate(now)
+        backends = self.subset.select(usable, rate, lambda backend: self.health.pickable(backend, now))
+        self.health.set_memory(backends, rate)
+        for backend in usable:
+            if backend.delisted and self.health.stats_of(backend).ejection_cause == "dead":
+                self.registry.remove(backend, now, dead=True)
+            if backend.ramp_start is not None and now - backend.ramp_start >= self.slow_start.duration:
                 backend.ramp_start = None
-        self.rotation.rebuild(backends, lambda backend: self.ramp.ratio(backend, now))
-        self.admission.sized(self._fair(rate, now), now)
+        self.rotation.rebuild(backends, lambda backend: self.slow_start.ratio(backend, now))
+        self.admission.resize(self._backend_share(rate, now), now)
+
+    def _backend_share(self, rate: float, now: float) -> float:
+        """How many backends are this node's part: an even one, or by its traffic where reports come.
 
-    def _fair(self, rate: float, now: float) -> float:
-        """How many backends are this node's: an even part, by its traffic where reports come. 0: unknown."""
-        even, usual = len(self.registry.usable) / self.nodes, self.health.usual.read(now)
-        if not (self.limits.probes_per_invocation and usual and now > self.began):
+        Returns 0 while that is unknown.
+        """
+        even, usual = len(self.registry.usable) / self.nodes, self.health.usual_in_flight.read(now)
+        if not (self.limits.probes_per_invocation and usual and now > self.started_at):
             return 0.0 if self.limits.probes_per_invocation else even
-        return max(self._rate(now) * self.health.took.read(now) / usual, 0.25 * even)
+        return max(self._arrival_rate(now) * self.health.response_time.read(now) / usual, 0.25 * even)
