--- a/thornladder/node/backends/pool.py
+++ b/thornladder/node/backends/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backends: the idle ones of each, and how many there are in all."""
+"""Pool of keep-alive connections to backends, with a limit on the number of open connections."""
 
 from __future__ import annotations
 
@@ -8,108 +8,114 @@
 import anyio
 
 from thornladder.node import http1
-from thornladder.node.http1 import Cause, Connect, Failure, Stage, UpstreamConnection
+from thornladder.node.http1 import Cause, Connector, Failure, Stage, UpstreamConnection
 from thornladder.settings import Address
 
 
 class Pool:
-    IDLE_CLOSE_MARGIN_SECONDS = (
-        1.0  # seconds before the backend closes an idle connection; more than an answer is on its way
-    )
-    # Seconds that a connection rests between two requests. A backend's second answer to the first may come
-    # some milliseconds late, and once the next request is out it would pass for the answer to that. Short,
-    # since whoever asks one request after the other waits for it each time.
+    """Idle connections by backend, reused most recently used first, and a count of all open ones."""
+
+    # How long before the backend closes an idle connection it is given up; longer than an answer's way back.
+    IDLE_CLOSE_MARGIN_SECONDS = 1.0
+    # How long a connection rests between two requests: a surplus second answer from the backend may arrive
+    # some milliseconds late, and once the next request is out it would be read as the answer to that one.
+    # Kept short, since a client that sends one request after the other waits for it each time.
     REUSE_DELAY_SECONDS = 0.002
 
     def __init__(
-        self, max_connections: int, idle_close: float, connect_time_out: float, clock: Callable[[], float],
-        connect: Connect = http1.connect,
+        self, max_connections: int, idle_close: float, connect_timeout: float, clock: Callable[[], float],
+        connect: Connector = http1.connect,
     ) -> None:  # fmt: skip
+        """`idle_close`: seconds after which backends close an idle connection."""
         self.max_connections, self.clock, self.connect = max_connections, clock, connect
-        self.set_timeouts(idle_close, connect_time_out)
-        self.idle: defaultdict[str, list[UpstreamConnection]] = defaultdict(
-            list
-        )  # the last one used goes first
-        self.open_connections = 0  # connections, and attempts at one
+        self.set_timeouts(idle_close, connect_timeout)
+        self.idle: defaultdict[str, list[UpstreamConnection]] = defaultdict(list)  # least recently used first
+        self.open_connections = 0  # including connection attempts and discarded connections not yet closed
         self.discarded: list[UpstreamConnection] = []  # to be closed
 
-    def set_timeouts(self, idle_close: float, connect_time_out: float) -> None:
-        self.connect_time_out = connect_time_out
-        self.keep = max(idle_close - self.IDLE_CLOSE_MARGIN_SECONDS, 0.5 * idle_close)
+    def set_timeouts(self, idle_close: float, connect_timeout: float) -> None:
+        """Changes both timeouts, in seconds, for connections that are already open too."""
+        self.connect_timeout = connect_timeout
+        self.max_idle_seconds = max(idle_close - self.IDLE_CLOSE_MARGIN_SECONDS, 0.5 * idle_close)
 
     async def acquire(self, backend: str, address: Address) -> UpstreamConnection | Failure:
-        """A connection on which nothing is out: an idle one that still stands, or a new one."""
-        # Looked up anew after each wait: a sweep or a drain may have taken the others elsewhere meanwhile.
-        while lines := self.idle.get(backend):
-            line = await self._rested(lines)
-            if self._good(line):
-                return line
-            self.discarded.append(line)
+        """Returns a connection with no request in flight: a usable idle one, or a new one.
+
+        Fails with `Cause.ABANDONED` when all allowed connections are open and none is idle.
+        """
+        # Looked up again after each wait: a sweep or a drain may have taken the idle connections meanwhile.
+        while connections := self.idle.get(backend):
+            connection = await self._take_rested(connections)
+            if self._is_usable(connection):
+                return connection
+            self.discarded.append(connection)
         if self.open_connections >= self.max_connections:
-            self._spare_one()
+            self._discard_oldest_idle()
             await self._close_discarded()
             if self.open_connections >= self.max_connections:
                 return Failure(Stage.CONNECTING, Cause.ABANDONED)
         self.open_connections += 1
-        line: UpstreamConnection | Failure | None = None
+        connection: UpstreamConnection | Failure | None = None
         try:
-            line = await self.connect(address, self.connect_time_out)
+            connection = await self.connect(address, self.connect_timeout)
         finally:
-            if not isinstance(line, UpstreamConnection):
+            if not isinstance(connection, UpstreamConnection):
                 self.open_connections -= 1
-        return line
+        return connection
 
-    async def _rested(self, lines: list[UpstreamConnection]) -> UpstreamConnection:
-        """Takes the one used last of those that have rested, or waits for the one that has longest."""
+    async def _take_rested(self, connections: list[UpstreamConnection]) -> UpstreamConnection:
+        """Takes the most recently used connection past its reuse delay, or waits for the oldest one."""
         now = self.clock()
         rested = (
-            n for n in range(len(lines) - 1, -1, -1) if now - lines[n].idle_since >= self.REUSE_DELAY_SECONDS
+            index
+            for index in range(len(connections) - 1, -1, -1)
+            if now - connections[index].idle_since >= self.REUSE_DELAY_SECONDS
         )
-        line = lines.pop(next(rested, 0))
+        connection = connections.pop(next(rested, 0))
         try:
-            while (wait := line.idle_since + self.REUSE_DELAY_SECONDS - self.clock()) > 0.0:
+            while (wait := connection.idle_since + self.REUSE_DELAY_SECONDS - self.clock()) > 0.0:
                 await anyio.sleep(wait)
         except BaseException:
-            self.discarded.append(line)  # whoever asked for it waits no more
+            self.discarded.append(connection)  # the caller was cancelled and will not return it
             raise
-        return line
+        return connection
 
-    async def release(self, backend: str, line: UpstreamConnection) -> None:
-        """Takes a connection back: kept if it can be used again, closed if not."""
-        if line.reusable:
-            line.idle_since = self.clock()
-            self.idle[backend].append(line)
+    async def release(self, backend: str, connection: UpstreamConnection) -> None:
+        """Takes a connection back: keeps it if it can be reused, closes it otherwise."""
+        if connection.reusable:
+            connection.idle_since = self.clock()
+            self.idle[backend].append(connection)
             return
-        self.discarded.append(line)
+        self.discarded.append(connection)
         await self._close_discarded()
 
     def discard_idle(self, backend: str) -> None:
-        """Nothing new goes to this backend: its idle connections are of no use."""
+        """Discards the idle connections of a backend that gets no new requests."""
         self.discarded += self.idle.pop(backend, ())
 
     async def close_expired(self) -> None:
-        """Closes what has stood idle for long or was closed by the other side."""
+        """Closes connections that were idle for too long or that the backend has closed."""
         for backend in list(self.idle):
-            for line in self.idle.pop(backend):
-                if self._good(line):
-                    self.idle[backend].append(line)
+            for connection in self.idle.pop(backend):
+                if self._is_usable(connection):
+                    self.idle[backend].append(connection)
                 else:
-                    self.discarded.append(line)
+                    self.discarded.append(connection)
         await self._close_discarded()
 
-    def _good(self, line: UpstreamConnection) -> bool:
-        return self.clock() - line.idle_since < self.keep and not line.stale()
+    def _is_usable(self, connection: UpstreamConnection) -> bool:
+        return self.clock() - connection.idle_since < self.max_idle_seconds and not connection.is_stale()
 
     async def _close_discarded(self) -> None:
         while self.discarded:
-            line = self.discarded.pop()
+            connection = self.discarded.pop()
             try:
-                await line.close()
+                await connection.close()
             finally:
                 self.open_connections -= 1
 
-    def _spare_one(self) -> None:
-        """Gives up the idle connection that has stood longest, so that another backend can have one."""
-        lines = [lines for lines in self.idle.values() if lines]
-        if lines:
-            self.discarded.append(min(lines, key=lambda each: each[0].idle_since).pop(0))
+    def _discard_oldest_idle(self) -> None:
+        """Discards the connection that has been idle longest, so that another backend can have one."""
+        idle_lists = [connections for connections in self.idle.values() if connections]
+        if idle_lists:
+            self.discarded.append(min(idle_lists, key=lambda connections: connections[0].idle_since).pop(0))
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -1,4 +1,7 @@
-"""Pushes and probes: each one asking on one connection, whose end is told as an outcome."""
+"""Pushes and probes: each is one request on one backend connection, and its end is reported as an outcome.
+
+Whether a push may have run at the backend follows from how far its request had come when it ended.
+"""
 
 from __future__ import annotations
 
@@ -26,229 +29,267 @@
 
 
 class PushListener(Protocol):
-    """Who hears of the ends."""
+    """Receives the ends of pushes and probes, and says whether the node may send now."""
 
     def push_ended(
-        self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: ClientResponse | None
-    ) -> None: ...
+        self,
+        exchange: Exchange,
+        number: int,
+        outcome: Outcome,
+        started_at: float,
+        answer: ClientResponse | None,
+    ) -> None:
+        """Push `number` of the exchange, begun at `started_at`, ended; `answer` only if it completed."""
+        ...
 
-    def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None: ...
+    def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
+        """The probe of `backend` ended; `report` is `NO_REPORT` unless a load report came with it."""
+        ...
 
-    def client_disconnected(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None:
+        """The client of `exchange` has closed its connection."""
+        ...
 
-    async def wait_until_caught_up(self) -> None: ...
+    async def wait_until_caught_up(self) -> None:
+        """Returns once the node has read what arrived while its event loop was stalled."""
+        ...
 
     @property
-    def list_stale_at(self) -> float: ...
+    def list_stale_at(self) -> float:
+        """Clock time from which the backend list is too stale to push by; inf while it is fresh."""
+        ...
 
 
 def outcome_of(result: UpstreamResponse | Failure) -> Outcome:
-    """What is known of a push by how far it had come. Only what surely never ran is called so."""
+    """Maps the result of a request to an outcome, by how far the request had come.
+
+    Outcomes that say that the push never ran are used only where that is certain.
+    """
     if isinstance(result, UpstreamResponse):
         return messages.outcome_of(result)
-    begun = result.stage in (Stage.SENT, Stage.ANSWERING)
+    may_have_run = result.stage in (Stage.SENT, Stage.RECEIVING)
     if result.cause is Cause.TIMEOUT:
-        return Outcome.TIMED_OUT if begun else Outcome.NOT_SENT
+        return Outcome.TIMED_OUT if may_have_run else Outcome.NOT_SENT
     if result.cause is Cause.CANCELLED:
-        return Outcome.CANCELLED if begun else Outcome.NOT_SENT
+        return Outcome.CANCELLED if may_have_run else Outcome.NOT_SENT
     if result.cause is Cause.ABANDONED:
         return Outcome.NOT_SENT
     if result.cause is Cause.STALE:
-        # Guards against sound backends taken for dead: what broke is a connection that stood idle.
+        # Says nothing about the backend's health: a connection was closed while it stood idle.
         return Outcome.NOT_SENT
     if result.cause is Cause.MALFORMED:
-        # Guards against sound backends taken for dead: one that answers nonsense lives.
+        # The backend sent an unreadable response, so its process is alive: do not count it as dead.
         return Outcome.ERROR
-    return Outcome.CONNECTION_LOST if begun else Outcome.UNREACHABLE
+    return Outcome.CONNECTION_LOST if may_have_run else Outcome.UNREACHABLE
 
 
 class PushDispatcher:
-    PROBE_TIME_OUT = 0.25  # seconds: longer than a busy backend takes for a probe, shorter than a sentence
-    DRAIN_MARGIN = 0.05  # seconds kept of the drain's grace for the way to the backend
-    FORGET = 60.0  # seconds: far longer than any push is out
-    FORGET_SOFT = 3600.0  # seconds that one stays known that was called gone where that does not bind
+    """Sends pushes and probes, and keeps the addresses of the listed backends."""
+
+    PROBE_TIMEOUT_SECONDS = 0.25  # longer than a busy backend takes to answer, shorter than any ejection
+    DRAIN_MARGIN_SECONDS = 0.05  # part of the drain grace that is reserved for the way to the backend
+    FORGET_AFTER_SECONDS = 60.0  # far longer than any push is in flight
+    # With soft removal a backend that left the list may still be pushed to, so it is remembered for longer.
+    SOFT_FORGET_AFTER_SECONDS = 3600.0
 
     def __init__(
         self,
         pool: Pool,
         drain_grace: float,
         soft_removal: bool,
-        held: BodyBudget,
+        body_budget: BodyBudget,
         tasks: Tasks,
-        told: PushListener,
+        listener: PushListener,
         clock: Callable[[], float],
         log: Any,
-        reports: bool = False,
+        request_load_reports: bool = False,
     ) -> None:
-        """`soft_removal`: only a listed drain binds. `reports`: whether a probe also asks for the load."""
-        self.pool, self.drain_grace, self.held, self.tasks = pool, drain_grace, held, tasks
+        """Creates a dispatcher that knows no backends yet; `on_list` gives it their addresses.
+
+        `drain_grace`: seconds for which pushes may still go to a backend after its drain is announced.
+        `soft_removal`: only a listed drain stops pushes, not the absence of a backend from the list.
+        `request_load_reports`: whether probes ask for the backend's load report.
+        """
+        self.pool, self.drain_grace, self.body_budget, self.tasks = pool, drain_grace, body_budget, tasks
         self.soft_removal = soft_removal
-        self.told, self.clock, self.log = told, clock, log
-        self.asking = messages.LOAD_PROBE if reports else messages.HEALTH_PROBE
+        self.listener, self.clock, self.log = listener, clock, log
+        self.probe_request = messages.LOAD_PROBE if request_load_reports else messages.HEALTH_PROBE
         self.addresses: dict[str, Address] = {}
-        self.leaving: dict[str, float] = {}  # since when each backend has been known to drain or be gone
-        self.drained: set[str] = set()  # those of them that were listed as draining
+        self.leaving_since: dict[str, float] = {}  # clock time at which each was first seen to leave
+        self.draining: set[str] = set()  # those of them that were listed as draining
 
     @property
     def send_grace(self) -> float:
-        """Seconds from when a change is told until it binds, less the way to the backend."""
-        return max(self.drain_grace - self.DRAIN_MARGIN, 0.0)
+        """Seconds after a drain is announced in which a push may still be sent."""
+        return max(self.drain_grace - self.DRAIN_MARGIN_SECONDS, 0.0)
 
     def on_list(self, answer: DiscoveryResponse) -> None:
-        """Where the backends are, and to which of them nothing new goes."""
+        """Takes in addresses, and which backends have left, from an answer of the list service."""
         now = self.clock()
         running = {entry.backend for entry in answer.entries if entry.state is State.RUNNING}
-        left = {entry.backend for entry in answer.entries} - running
+        departed = {entry.backend for entry in answer.entries} - running
         if answer.kind is not ListKind.DELTA:
-            left |= self.addresses.keys() - running
+            departed |= self.addresses.keys() - running
         for backend, address in answer.addresses.items():
             if self.addresses.get(backend, address) != address:
                 self.pool.discard_idle(backend)
             self.addresses[backend] = address
         for backend in running:
-            self.leaving.pop(backend, None)
-        self.drained -= running
-        self.drained |= {entry.backend for entry in answer.entries if entry.state is State.DRAINING}
-        for backend in left:
-            self.leaving.setdefault(backend, now)
+            self.leaving_since.pop(backend, None)
+        self.draining -= running
+        self.draining |= {entry.backend for entry in answer.entries if entry.state is State.DRAINING}
+        for backend in departed:
+            self.leaving_since.setdefault(backend, now)
             self.pool.discard_idle(backend)
 
     def forget_departed(self) -> None:
-        """What left long ago cannot be pushed to any more."""
-        for backend, since in list(self.leaving.items()):
-            if self.clock() - since > (self.FORGET if self._binds(backend) else self.FORGET_SOFT):
-                del self.leaving[backend]
-                self.drained.discard(backend)
+        """Drops backends that left so long ago that no push to them can be in flight."""
+        for backend, since in list(self.leaving_since.items()):
+            if self.clock() - since > (
+                self.FORGET_AFTER_SECONDS if self._is_excluded(backend) else self.SOFT_FORGET_AFTER_SECONDS
+            ):
+                del self.leaving_since[backend]
+                self.draining.discard(backend)
                 self.addresses.pop(backend, None)
 
     def start_push(
-        self, exchange: Exchange, backend: str, time_out: float, begin_in: float = math.inf
+        self, exchange: Exchange, backend: str, timeout: float, send_within: float = math.inf
     ) -> None:
+        """Starts a push with a `timeout`, to be sent within `send_within` or not at all (both in seconds)."""
         number, scope = exchange.open_push()
-        scope.deadline = anyio.current_time() + time_out
-        by = self.clock() + begin_in
-        self.tasks.start("a push", self._push, exchange, number, backend, time_out, by)
+        scope.deadline = anyio.current_time() + timeout
+        send_by = self.clock() + send_within
+        self.tasks.start("a push", self._push, exchange, number, backend, timeout, send_by)
 
     async def _push(
-        self, exchange: Exchange, number: int, backend: str, time_out: float, begin_by: float
+        self, exchange: Exchange, number: int, backend: str, timeout: float, send_by: float
     ) -> None:
-        sent = self.clock()
-        # Nothing unforeseen keeps an end from being told: the invocation would be left without an answer.
-        outcome, answer, scope, begun = Outcome.CONNECTION_LOST, None, exchange.push_scopes[number], False
-
-        def begin(reply: UpstreamResponse) -> None:
-            """A large answer is its client's from its first bytes on: there the push has ended."""
-            nonlocal begun
-            begun, scope.deadline = True, math.inf
-            assert reply.body_pipe is not None
-            reply.body_pipe.producer_scope = scope
-            self.told.push_ended(
-                exchange, number, Outcome.COMPLETED, sent, messages.completed_response(reply)
+        started_at = self.clock()
+        # The end is reported even after an unexpected error: without it the invocation would get no answer.
+        outcome, answer, scope, streaming = Outcome.CONNECTION_LOST, None, exchange.push_scopes[number], False
+
+        def on_streaming(response: UpstreamResponse) -> None:
+            """Ends the push as completed where a large body starts, which is streamed to the client."""
+            nonlocal streaming
+            streaming, scope.deadline = True, math.inf
+            assert response.body_pipe is not None
+            response.body_pipe.producer_scope = scope
+            self.listener.push_ended(
+                exchange, number, Outcome.COMPLETED, started_at, messages.completed_response(response)
             )
-            if exchange.answer is None or exchange.answer.body_pipe is not reply.body_pipe:
-                reply.body_pipe.abort()  # nobody waits for it
+            if exchange.answer is None or exchange.answer.body_pipe is not response.body_pipe:
+                response.body_pipe.abort()  # no client waits for it
 
         try:
-            left = exchange.time_budget if exchange.body_incoming else time_out
-            result = await self._send(backend, exchange.message, left, scope, begin, exchange, begin_by)
-            ended = outcome_of(result)
-            answer = messages.completed_response(result) if ended is Outcome.COMPLETED else None
-            outcome = ended
+            time_left = exchange.time_budget if exchange.body_incoming else timeout
+            result = await self._send(
+                backend, exchange.message, time_left, scope, on_streaming, exchange, send_by
+            )
+            result_outcome = outcome_of(result)
+            answer = messages.completed_response(result) if result_outcome is Outcome.COMPLETED else None
+            outcome = result_outcome
         except Exception:
             self.log.exception("a push failed")
-        if begun:
+        if streaming:
             return
         try:
-            self.told.push_ended(exchange, number, outcome, sent, answer)
+            self.listener.push_ended(exchange, number, outcome, started_at, answer)
         except Exception:
-            self.log.exception("a push's end could not be told")
-            exchange.finish(ClientResponse(FinalOutcome.TERMINATED))  # nobody else will
+            self.log.exception("the end of a push could not be reported")
+            exchange.finish(ClientResponse(FinalOutcome.TERMINATED))  # nothing else will answer it
 
     def start_probe(self, backend: str) -> None:
+        """Starts a probe of a backend; its end is reported to the listener."""
         self.tasks.start("a probe", self._probe, backend)
 
     async def _probe(self, backend: str) -> None:
-        scope = anyio.CancelScope(deadline=anyio.current_time() + self.PROBE_TIME_OUT)
+        scope = anyio.CancelScope(deadline=anyio.current_time() + self.PROBE_TIMEOUT_SECONDS)
         outcome, report = Outcome.CONNECTION_LOST, NO_REPORT
         try:
-            result = await self._send(backend, self.asking, self.PROBE_TIME_OUT, scope)
+            result = await self._send(backend, self.probe_request, self.PROBE_TIMEOUT_SECONDS, scope)
             outcome = outcome_of(result)
-            if self.asking is messages.LOAD_PROBE and outcome is Outcome.COMPLETED:
+            if self.probe_request is messages.LOAD_PROBE and outcome is Outcome.COMPLETED:
                 report = messages.decode_load_report(result.body)
         except Exception:
             self.log.exception("a probe failed")
-        self.told.probe_ended(backend, outcome, report)
+        self.listener.probe_ended(backend, outcome, report)
 
     async def _send(
         self, backend: str, message: UpstreamRequest, time_left: float, scope: anyio.CancelScope,
-        begin: Callable[[UpstreamResponse], None] | None = None, exchange: Exchange | None = None,
-        begin_by: float = math.inf,
+        on_streaming: Callable[[UpstreamResponse], None] | None = None, exchange: Exchange | None = None,
+        send_by: float = math.inf,
     ) -> UpstreamResponse | Failure:  # fmt: skip
-        """Asks once, for a client unless `exchange` is None.
+        """Sends one request; for a push, `exchange` is the invocation that it serves.
 
-        The connection is closed before a time-out or a cancel is told of.
+        After a timeout or a cancellation the connection is closed before this returns.
         """
         address = self.addresses.get(backend)
         if address is None:
             return Failure(Stage.CONNECTING, Cause.NO_CONNECTION if self.soft_removal else Cause.ABANDONED)
-        line: UpstreamConnection | Failure | None = None
+        connection: UpstreamConnection | Failure | None = None
         result: UpstreamResponse | Failure | None = None
         try:
             with scope:
-                line = await self.pool.acquire(backend, address)
-                await self.told.wait_until_caught_up()
-                if isinstance(line, Failure):
-                    result = line
+                connection = await self.pool.acquire(backend, address)
+                await self.listener.wait_until_caught_up()
+                if isinstance(connection, Failure):
+                    result = connection
                 elif scope.cancel_called:
-                    # Guards against one that was cancelled before it had its turn: nothing below waits before
-                    # the first byte, and only what waits hears of a cancel.
+                    # A cancellation is only delivered where a task waits, and nothing below waits before the
+                    # first byte is written, so a scope cancelled earlier has to be checked for here.
                     result = Failure(Stage.CONNECTING, Cause.CANCELLED)
-                elif self._is_expired(backend, begin_by) or (
-                    exchange is not None and self._unwanted(exchange)
+                elif self._is_expired(backend, send_by) or (
+                    exchange is not None and self._client_has_left(exchange)
                 ):
                     result = Failure(Stage.CONNECTING, Cause.ABANDONED)
                 else:
                     request = messages.encode_push(message, time_left, address[0])
-                    most = messages.MAX_BODY_BYTES if begin is not None else messages.MAX_BUFFERED_BYTES
-                    result = await line.round_trip(request, message, most, begin, self.held)
+                    max_body_bytes = (
+                        messages.MAX_BODY_BYTES if on_streaming is not None else messages.MAX_BUFFERED_BYTES
+                    )
+                    result = await connection.round_trip(
+                        request, message, max_body_bytes, on_streaming, self.body_budget
+                    )
         except Exception:
-            # Nothing is foreseen here; it ends one push, which may have run, and not the node.
+            # An unexpected error ends this push, which may have run, and not the node.
             self.log.exception("a push failed")
             result = Failure(Stage.SENT, Cause.BROKEN)
         if result is None:
             cause = Cause.CANCELLED if anyio.current_time() < scope.deadline else Cause.TIMEOUT
-            result = Failure(line.stage if isinstance(line, UpstreamConnection) else Stage.CONNECTING, cause)
-        if isinstance(line, UpstreamConnection):
-            if backend in self.leaving and self._binds(backend):
-                line.reusable = False
+            result = Failure(
+                connection.stage if isinstance(connection, UpstreamConnection) else Stage.CONNECTING, cause
+            )
+        if isinstance(connection, UpstreamConnection):
+            if backend in self.leaving_since and self._is_excluded(backend):
+                connection.reusable = False
             try:
-                await self.pool.release(backend, line)
+                await self.pool.release(backend, connection)
             except Exception:
-                self.log.exception("a connection could not be put back")  # its answer stands all the same
+                self.log.exception("a connection could not be returned to the pool")  # the result stands
         return result
 
-    def _is_expired(self, backend: str, begin_by: float) -> bool:
-        """Whether what was decided while the backend ran is not to be begun any more.
+    def _is_expired(self, backend: str, send_by: float) -> bool:
+        """Whether a push that was decided earlier must not be sent any more.
 
-        Guards against pushes that waited for a connection: a drain or a silent watch may have overtaken them,
-        and how late the news was taken in is not known here, so that none of the grace is used up; or the
-        window in which a repeat of what may have run is discarded is over.
+        It may have waited for a connection. Meanwhile a drain may have been listed or the list may have gone
+        stale; none of the drain grace is used then, since it is not known here how late that news was taken
+        in. Or the window may have ended in which the backends discard a repeat of what may have run.
         """
-        if backend in self.leaving and self._binds(backend):
+        if backend in self.leaving_since and self._is_excluded(backend):
             return True
-        return self.clock() >= min(self.told.list_stale_at, begin_by)
+        return self.clock() >= min(self.listener.list_stale_at, send_by)
 
-    def _unwanted(self, exchange: Exchange) -> bool:
-        """Whether nobody waits for this any more, looked at just before the first byte.
+    def _client_has_left(self, exchange: Exchange) -> bool:
+        """Whether no client waits for this push any more; checked just before its first byte.
 
-        Guards against attempts begun for a client that has closed: its end may lie unread behind bytes that
-        back-pressure holds up, or have come while this attempt waited for its connection or this node for
-        its core; and where nothing may be cancelled, a first or further attempt still on its way out.
+        The client's close may be unread, behind bytes that backpressure holds up, or it may have come while
+        the push waited for its connection or the node for its core. Where pushes may not be cancelled, this
+        also stops one that is still waiting to be sent.
         """
         if not exchange.finished and exchange.client_closed:
-            self.told.client_disconnected(exchange)
+            self.listener.client_disconnected(exchange)
         return exchange.finished
 
-    def _binds(self, backend: str) -> bool:
-        """Whether nothing new may go to one that has left."""
-        return not self.soft_removal or backend in self.drained
+    def _is_excluded(self, backend: str) -> bool:
+        """Whether a backend that has left may get no new pushes."""
+        return not self.soft_removal or backend in self.draining
--- a/thornladder/node/discovery/watch.py
+++ b/thornladder/node/discovery/watch.py
@@ -11,7 +11,7 @@
 from thornladder.fields import MalformedError
 from thornladder.interface import ListKind
 from thornladder.node import http1, messages
-from thornladder.node.http1 import Cause, Connect, Failure, UpstreamConnection
+from thornladder.node.http1 import Cause, Connector, Failure, UpstreamConnection
 from thornladder.node.messages import DiscoveryResponse, UpstreamResponse
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
@@ -43,7 +43,7 @@
         tasks: Tasks,
         tell: Callable[[DiscoveryResponse | None], None],
         log: Any,
-        connect: Connect = http1.connect,
+        connect: Connector = http1.connect,
         list_pushed: bool = False,
     ) -> None:
         """`list_pushed`: whether the settings say that the list is told unasked."""
@@ -154,7 +154,7 @@
         with anyio.move_on_after(
             wait + self.RESPONSE_TIMEOUT_SECONDS if wait else self.FIRST_POLL_TIMEOUT_SECONDS
         ) as self.scope:
-            if self.line is not None and (self.at != self.address or self.line.stale()):
+            if self.line is not None and (self.at != self.address or self.line.is_stale()):
                 await self._close()
             self.at = self.address
             if self.line is None:
@@ -162,7 +162,7 @@
                 self.line = line if isinstance(line, UpstreamConnection) else None
             if self.line is not None:
                 request = messages.encode_list_request(f"{self.at[0]}:{self.at[1]}", self.version, wait)
-                reply = await self.line.round_trip(request, most=self.MAX_LIST_BYTES)
+                reply = await self.line.round_trip(request, max_body_bytes=self.MAX_LIST_BYTES)
             if isinstance(reply, UpstreamResponse) and reply.status == 200:
                 try:
                     answer = messages.decode_list(reply.body)
--- a/thornladder/node/http1.py
+++ b/thornladder/node/http1.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 connection on which this node asks: used for backends and for discovery."""
+"""HTTP/1.1 connections on which the node sends requests, to backends and to the list service."""
 
 from __future__ import annotations
 
@@ -19,284 +19,299 @@
 
 
 class Stage(Enum):
-    """How far an asking had come."""
+    """How far a request has come."""
 
     CONNECTING = "connecting"
     WRITING = "writing"
     SENT = "sent"
-    ANSWERING = "answering"
+    RECEIVING = "receiving"
 
 
 class Cause(Enum):
-    """What ended it before there was an answer."""
+    """Why a request ended without a response."""
 
     NO_CONNECTION = "no connection"
     BROKEN = "broken"
-    STALE = "stale"  # the other side had ended a connection that was used before; nothing was written whole
-    MALFORMED = "spoilt"  # something came that cannot be read as its answer
-    TIMEOUT = "time-out"
+    STALE = "stale"  # a reused connection that the other side had closed; the request was not written whole
+    MALFORMED = "malformed"  # what arrived cannot be read as the response
+    TIMEOUT = "timeout"
     CANCELLED = "cancelled"
-    ABANDONED = "too late"
+    ABANDONED = "abandoned"  # given up by this node before anything was written
 
 
 class Failure(NamedTuple):
-    """An asking that ended without an answer, as a value."""
+    """Result of a request that ended without a response."""
 
     stage: Stage
     cause: Cause
 
 
-class Incoming:
-    """One answer as it comes: kept whole while it is small, passed on as it comes once it is large."""
+class ResponseReader:
+    """Body of one response: buffered while it is small, streamed to the client once it is large."""
 
     def __init__(
         self,
         head_only: bool,
-        most: int,
-        begin: Callable[[UpstreamResponse], None] | None,
-        held: BodyBudget | None,
+        max_body_bytes: int,
+        on_streaming: Callable[[UpstreamResponse], None] | None,
+        body_budget: BodyBudget | None,
     ) -> None:
-        self.head_only, self.most, self.begin, self.held = head_only, most, begin, held
+        """`head_only`: the request is a HEAD. Without `on_streaming` every body is buffered."""
+        self.head_only, self.max_body_bytes, self.on_streaming, self.body_budget = (
+            head_only, max_body_bytes, on_streaming, body_budget
+        )  # fmt: skip
         self.head: h11.Response | None = None
-        self.length: int | None = None
+        self.length: int | None = None  # by Content-Length
         self.parts: list[bytes] = []
-        self.size = 0
-        self.counted = False
-        self.flow: BodyPipe | None = None
-        self.whole = False
-        self.began = 0.0
+        self.size = 0  # bytes received so far
+        self.budget_acquired = False
+        self.body_pipe: BodyPipe | None = None
+        self.complete = False
+        self.head_received_at = 0.0
 
     @property
-    def good(self) -> bool:
+    def is_ok(self) -> bool:
+        """Whether the status is 200, the only one that is passed on to clients."""
         return self.head is not None and self.head.status_code == 200
 
     @property
-    def large(self) -> bool:
-        """Whether it is known to be."""
-        may = self.begin is not None and self.good and not self.head_only and self.flow is None
+    def should_stream(self) -> bool:
+        """Whether the body is now known to be too large to be buffered and is not yet streamed."""
+        may = self.on_streaming is not None and self.is_ok and not self.head_only and self.body_pipe is None
         return may and max(self.length or 0, self.size) > MAX_BUFFERED_BYTES
 
-    def headed(self, head: h11.Response) -> bool:
-        """Takes the head; False if what it says of the body cannot be."""
-        self.head, self.began = head, anyio.current_time()
+    def accept_head(self, head: h11.Response) -> bool:
+        """Takes the head; returns False if the body that it announces is too long or of unknown end."""
+        self.head, self.head_received_at = head, anyio.current_time()
         framing = dict(head.headers)
-        told = framing.get(b"content-length")
-        self.length = int(told) if told else None
-        # Guards against a body without end, and against one that ends where the connection breaks.
+        content_length = framing.get(b"content-length")
+        self.length = int(content_length) if content_length else None
+        # A body that ends with its connection cannot be told from one that broke off, and may never end.
         if self.length is None:
             return head.status_code != 200 or b"transfer-encoding" in framing or self.head_only
-        return self.head_only or self.length <= self.most
+        return self.head_only or self.length <= self.max_body_bytes
 
-    def patience(self) -> float | None:
-        """Seconds to wait for more: of what flows not for ever, of what may be large not for long."""
-        if self.flow is not None:
-            return UpstreamConnection.GIVING
-        if self.begin is None or not self.good or self.length is not None or not self.parts:
+    def read_timeout(self) -> float | None:
+        """Seconds to wait for more data, or None for no limit.
+
+        A streamed body must not stall for long; a body of unknown length is buffered only for a short time.
+        """
+        if self.body_pipe is not None:
+            return UpstreamConnection.STREAM_STALL_TIMEOUT_SECONDS
+        if self.on_streaming is None or not self.is_ok or self.length is not None or not self.parts:
             return None
-        return max(self.began + UpstreamConnection.HOLD - anyio.current_time(), 0.0)
-
-    async def take(self, data: bytes, line: UpstreamConnection) -> bool:
-        if self.flow is not None:
-            return await self.flow.send(data)
-        if (
-            self.good or self.size <= MAX_BUFFERED_BYTES
-        ):  # of what is no answer to pass on the beginning will do
+        return max(
+            self.head_received_at + UpstreamConnection.UNKNOWN_LENGTH_BUFFER_SECONDS - anyio.current_time(),
+            0.0,
+        )
+
+    async def add(self, data: bytes, connection: UpstreamConnection) -> bool:
+        """Takes a part of the body; returns False if it is streamed and its client has left."""
+        if self.body_pipe is not None:
+            return await self.body_pipe.send(data)
+        # The beginning is enough of a body that is not passed on.
+        if self.is_ok or self.size <= MAX_BUFFERED_BYTES:
             self.parts.append(data)
-        if self.large:
-            await self.flows(line)
+        if self.should_stream:
+            await self.start_streaming(connection)
         return True
 
-    async def flows(self, line: UpstreamConnection) -> None:
-        """From here on it is its client's."""
-        if self.held is not None:
-            await self.held.acquire(BODY_PIPE_BYTES, line)
-            self.counted = True
-        limit_kernel_buffers(line.stream)
-        assert self.head is not None and self.begin is not None
-        self.flow = BodyPipe()
-        self.begin(
-            UpstreamResponse(200, list(self.head.headers), b"".join(self.parts), self.flow, self.length)
+    async def start_streaming(self, connection: UpstreamConnection) -> None:
+        """Hands the response to its client, with what has arrived of the body; the rest follows."""
+        if self.body_budget is not None:
+            await self.body_budget.acquire(BODY_PIPE_BYTES, connection)
+            self.budget_acquired = True
+        limit_kernel_buffers(connection.stream)
+        assert self.head is not None and self.on_streaming is not None
+        self.body_pipe = BodyPipe()
+        self.on_streaming(
+            UpstreamResponse(200, list(self.head.headers), b"".join(self.parts), self.body_pipe, self.length)
         )
         self.parts.clear()
 
-    def ended(self) -> UpstreamResponse:
+    def finish(self) -> UpstreamResponse:
+        """Returns the response, whose last byte has been read."""
         assert self.head is not None
-        self.whole = True
+        self.complete = True
         return UpstreamResponse(
-            self.head.status_code, list(self.head.headers), b"".join(self.parts), self.flow
+            self.head.status_code, list(self.head.headers), b"".join(self.parts), self.body_pipe
         )
 
-    def over(self, line: UpstreamConnection) -> None:
-        if self.flow is not None:
-            self.flow.finish(self.whole)
-        if self.counted and self.held is not None:
-            self.held.release(BODY_PIPE_BYTES, line)
+    def close(self, connection: UpstreamConnection) -> None:
+        """Ends the stream to the client, if there is one, and gives its budget back."""
+        if self.body_pipe is not None:
+            self.body_pipe.finish(self.complete)
+        if self.budget_acquired and self.body_budget is not None:
+            self.body_budget.release(BODY_PIPE_BYTES, connection)
 
 
 class UpstreamConnection:
-    """One connection, one asking at a time. `stage` tells how far the present one is."""
+    """One connection with at most one request in flight; `stage` says how far that request has come."""
 
-    AT_ONCE = 4096  # bytes that a kernel takes in one go on a connection with nothing under way
-    HOLD = 0.1  # seconds that the first bytes of an answer of unknown length may wait for the rest
-    GIVING = 10.0  # seconds in which a backend that has begun a large answer says something more
-    AHEAD = 8  # informational answers ahead of the one asked for; one or two are usual
+    SINGLE_WRITE_BYTES = 4096  # the kernel takes this much at once on a connection with nothing in flight
+    UNKNOWN_LENGTH_BUFFER_SECONDS = 0.1  # a body of unknown length is streamed if it has not ended by then
+    STREAM_STALL_TIMEOUT_SECONDS = 10.0  # longest pause of a backend in the middle of a streamed body
+    MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses before the final one; one or two are usual
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
         self.http = h11.Connection(h11.CLIENT)
         self.stage = Stage.WRITING
-        self.answer: Incoming  # to the present asking
-        self.idle_since = 0.0  # for whoever keeps it
+        self.response: ResponseReader  # to the request in flight
+        self.idle_since = 0.0  # set by the pool
         self.reusable = False
-        self.asked = 0
+        self.request_count = 0
 
-    def stale(self) -> bool:
-        """Whether the other side has closed it, or said something that nobody asked for.
+    def is_stale(self) -> bool:
+        """Whether the other side has closed the connection or sent data outside a response.
 
-        Only for an idle connection: nothing is read from it then, so that nothing else closes it.
+        Only valid while the connection is idle: nothing reads from it then, so no other task closes it.
         """
         return has_unread_data(self.stream)
 
     async def round_trip(
-        self, request: h11.Request, message: UpstreamRequest | None = None, most: int = MAX_BUFFERED_BYTES,
-        begin: Callable[[UpstreamResponse], None] | None = None, held: BodyBudget | None = None,
+        self, request: h11.Request, message: UpstreamRequest | None = None,
+        max_body_bytes: int = MAX_BUFFERED_BYTES,
+        on_streaming: Callable[[UpstreamResponse], None] | None = None,
+        body_budget: BodyBudget | None = None,
     ) -> UpstreamResponse | Failure:  # fmt: skip
-        """Sends once and waits for the answer, of `most` bytes; whoever cancels this closes the connection.
+        """Sends one request and waits for its response, whose body has at most `max_body_bytes`.
 
-        `begin` is told of a large answer that is good so far; this goes on until it has been passed on.
-        `held` counts what flows.
+        `on_streaming` is called when a large body starts with status 200; this then returns once the body has
+        been passed on. Streamed bodies are counted in `body_budget`. A caller that cancels this has to close
+        the connection.
         """
         self.stage, self.reusable = Stage.WRITING, False
-        self.asked += 1
-        self.answer = Incoming(request.method == b"HEAD", most, begin, held)
+        self.request_count += 1
+        self.response = ResponseReader(request.method == b"HEAD", max_body_bytes, on_streaming, body_budget)
         body = message.body if message is not None else b""
         try:
             if message is not None and message.body_pipe is not None:
-                return await self._ask_flowing(request, message, message.body_pipe)
+                return await self._round_trip_streaming(request, message, message.body_pipe)
             data = self.http.send(request) or b""
             if body:
                 data += self.http.send(h11.Data(data=body)) or b""
             data += self.http.send(h11.EndOfMessage()) or b""
-            if len(data) > self.AT_ONCE:
-                # Guards against a write that was still under way when it was given up, and was whole by then:
-                # until the last byte is handed over it surely never ran, from then on it may have.
+            if len(data) > self.SINGLE_WRITE_BYTES:
+                # A write that is given up while still in progress may yet reach the backend whole. So the last
+                # byte is sent apart: before it the request cannot have run, from it on it may have.
                 await self.stream.send(data[:-1])
                 data, self.stage = data[-1:], Stage.SENT
             if self.stage is Stage.SENT or not streams.try_write(self.stream, data):
                 await self.stream.send(data)
             self.stage = Stage.SENT
-            return await self._answer()
+            return await self._read_response()
         except STREAM_CLOSED_ERRORS:
-            return self._broken()
+            return self._connection_lost()
         except h11.LocalProtocolError:
-            return Failure(self.stage, Cause.ABANDONED)  # not to be put into words: nothing was written
+            return Failure(self.stage, Cause.ABANDONED)  # it cannot be encoded, so nothing was written
         finally:
-            self.answer.over(self)
+            self.response.close(self)
 
-    async def _ask_flowing(
-        self, request: h11.Request, message: UpstreamRequest, flow: BodyPipe
+    async def _round_trip_streaming(
+        self, request: h11.Request, message: UpstreamRequest, body_pipe: BodyPipe
     ) -> UpstreamResponse | Failure:
-        """Passes a body on while it comes, and hears an answer that comes before its end."""
+        """Streams a request body, and reads a response that may arrive before the end of that body."""
         limit_kernel_buffers(self.stream)
         async with anyio.create_task_group() as group:
-            group.start_soon(self._pass_on, request, message, flow)
-            result = await self._answer()
+            group.start_soon(self._send_body, request, message, body_pipe)
+            result = await self._read_response()
             group.cancel_scope.cancel()
         return result
 
-    async def _pass_on(self, request: h11.Request, message: UpstreamRequest, flow: BodyPipe) -> None:
-        """It surely never ran as long as its last byte, or the end of its chunks, is held back."""
+    async def _send_body(self, request: h11.Request, message: UpstreamRequest, body_pipe: BodyPipe) -> None:
+        """Sends a streamed request; it cannot have run until its last byte or its last chunk is sent."""
         try:
-            await self.stream.send((self.http.send(request) or b"") + self._part(message.body))
-            left = None if message.length is None else message.length - len(message.body)
-            async for part in flow.parts():
-                data = self._part(part)
-                if left is not None:
-                    left -= len(part)
-                    if left <= 0:
+            await self.stream.send((self.http.send(request) or b"") + self._encode_part(message.body))
+            remaining = None if message.length is None else message.length - len(message.body)
+            async for part in body_pipe.parts():
+                data = self._encode_part(part)
+                if remaining is not None:
+                    remaining -= len(part)
+                    if remaining <= 0:
                         await self.stream.send(data[:-1])
                         data, self.stage = data[-1:], Stage.SENT
                 await self.stream.send(data)
-            if flow.complete:
-                end = self.http.send(h11.EndOfMessage()) or b""
-                if end:
+            if body_pipe.complete:
+                last_chunk = self.http.send(h11.EndOfMessage()) or b""
+                if last_chunk:
                     self.stage = Stage.SENT
-                    await self.stream.send(end)
+                    await self.stream.send(last_chunk)
         except (*STREAM_CLOSED_ERRORS, h11.LocalProtocolError):
-            pass  # the answer, or the end of the stream, tells
+            pass  # the reading side sees the response or the end of the stream
 
-    def _part(self, data: bytes) -> bytes:
+    def _encode_part(self, data: bytes) -> bytes:
         return (self.http.send(h11.Data(data=data)) or b"") if data else b""
 
-    async def _answer(self) -> UpstreamResponse | Failure:
-        """Reads one answer. What cannot be read comes from a process that lives, unlike an end."""
+    async def _read_response(self) -> UpstreamResponse | Failure:
+        """Reads one response. Unreadable data means that the peer is alive, unlike the end of the stream."""
         try:
-            return await self._read()
+            return await self._parse_response()
         except h11.RemoteProtocolError:
-            return self._spoilt()
+            return self._malformed()
         except STREAM_CLOSED_ERRORS:
-            return self._broken()  # here, since a task group would wrap it
+            return self._connection_lost()  # caught here, since a task group would wrap the exception
 
-    def _broken(self) -> Failure:
-        kept = self.stage is Stage.WRITING and self.asked > 1
-        return Failure(self.stage, Cause.STALE if kept else Cause.BROKEN)
+    def _connection_lost(self) -> Failure:
+        closed_while_idle = self.stage is Stage.WRITING and self.request_count > 1
+        return Failure(self.stage, Cause.STALE if closed_while_idle else Cause.BROKEN)
 
-    def _spoilt(self) -> Failure:
-        ended = self.http.trailing_data[1]
-        return Failure(self.stage, Cause.BROKEN if ended else Cause.MALFORMED)
+    def _malformed(self) -> Failure:
+        stream_ended = self.http.trailing_data[1]
+        return Failure(self.stage, Cause.BROKEN if stream_ended else Cause.MALFORMED)
 
-    async def _read(self) -> UpstreamResponse | Failure:
-        answer, ahead = self.answer, 0
+    async def _parse_response(self) -> UpstreamResponse | Failure:
+        response, informational = self.response, 0
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                data = b""  # h11 tells whether the answer may end so
-                with suppress(anyio.EndOfStream), anyio.move_on_after(answer.patience()) as waiting:
+                data = b""  # empty data tells h11 that the stream has ended
+                with suppress(anyio.EndOfStream), anyio.move_on_after(response.read_timeout()) as read_scope:
                     data = await self.stream.receive()
-                if not waiting.cancelled_caught:
+                if not read_scope.cancelled_caught:
                     self.http.receive_data(data)
-                elif answer.flow is not None:
+                elif response.body_pipe is not None:
                     return Failure(self.stage, Cause.BROKEN)
                 else:
-                    await answer.flows(self)
+                    await response.start_streaming(self)
             elif isinstance(event, h11.Response):
-                self.stage = Stage.ANSWERING
-                if not answer.headed(event):
-                    return self._spoilt()
-                if answer.large:
-                    await answer.flows(self)
+                self.stage = Stage.RECEIVING
+                if not response.accept_head(event):
+                    return self._malformed()
+                if response.should_stream:
+                    await response.start_streaming(self)
             elif isinstance(event, h11.Data):
-                answer.size += len(event.data)
-                if answer.size > answer.most:
-                    return self._spoilt()
-                if not await answer.take(bytes(event.data), self):
-                    return Failure(self.stage, Cause.BROKEN)  # nobody is there to take it any more
+                response.size += len(event.data)
+                if response.size > response.max_body_bytes:
+                    return self._malformed()
+                if not await response.add(bytes(event.data), self):
+                    return Failure(self.stage, Cause.BROKEN)  # its client has left
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.InformationalResponse):
-                ahead += 1
-                if ahead > self.AHEAD:
-                    return self._spoilt()
+                informational += 1
+                if informational > self.MAX_INFORMATIONAL_RESPONSES:
+                    return self._malformed()
             else:
-                return self._spoilt()
+                return self._malformed()
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
             self.reusable = not self.http.trailing_data[0]
-        return answer.ended()
+        return response.finish()
 
     async def close(self) -> None:
-        """Ends it; when this returns nothing more goes out on the connection."""
+        """Closes the connection; nothing more is sent on it once this returns."""
         await streams.close(self.stream)
 
 
-async def connect(address: Address, time_out: float) -> UpstreamConnection | Failure:
+async def connect(address: Address, timeout: float) -> UpstreamConnection | Failure:
+    """Opens a connection within `timeout` seconds."""
     try:
-        with anyio.fail_after(time_out):
+        with anyio.fail_after(timeout):
             return UpstreamConnection(streams.limit_reads(await anyio.connect_tcp(*address)))
-    except OSError:  # a time-out is one too
+    except OSError:  # includes TimeoutError
         return Failure(Stage.CONNECTING, Cause.NO_CONNECTION)
 
 
-Connect = Callable[
-    [Address, float], Awaitable[UpstreamConnection | Failure]
-]  # to an address, in so many seconds
+# Opens a connection to an address within a timeout in seconds.
+Connector = Callable[[Address, float], Awaitable[UpstreamConnection | Failure]]
