--- a/thornladder/node/backends/__init__.py
+++ b/thornladder/node/backends/__init__.py
@@ -1,1 +1,1 @@
-"""The backends' side: connections to backends, pushes and probes on them."""
+"""Connections to backends, and the pushes and probes sent on them."""
--- a/thornladder/node/backends/pushes.py
+++ b/thornladder/node/backends/pushes.py
@@ -183,7 +183,7 @@
         try:
             time_left = exchange.time_budget if exchange.body_incoming else timeout
             result = await self._send(
-                backend, exchange.message, time_left, scope, on_streaming, exchange, send_by
+                backend, exchange.request, time_left, scope, on_streaming, exchange, send_by
             )
             result_outcome = outcome_of(result)
             answer = messages.completed_response(result) if result_outcome is Outcome.COMPLETED else None
--- a/thornladder/node/discovery/__init__.py
+++ b/thornladder/node/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of backends comes from. Another source would start and tell the same way."""
+"""Discovery of backends. Another source of the list would offer the same interface as `watch.Watch`."""
--- a/thornladder/node/exchange.py
+++ b/thornladder/node/exchange.py
@@ -1,4 +1,4 @@
-"""One invocation in flight: where the clients' side and the backends' side meet."""
+"""State of one invocation in flight, shared by the client connection and the pushes made for it."""
 
 from __future__ import annotations
 
@@ -11,62 +11,70 @@
 
 
 class Exchange:
-    """What came in, the pushes made for it, and its one final answer."""
+    """An invocation as it came in, its pushes, and its final answer, of which there is at most one."""
 
     __slots__ = (
-        "invocation", "message", "answer", "client_gone", "push_scopes", "pending_pushes", "unread_seconds",
+        "invocation", "request", "answer", "client_gone", "push_scopes", "pending_pushes", "unread_seconds",
         "time_budget", "body_incoming", "_deliver", "_client_closed",
     )  # fmt: skip
 
     def __init__(
         self,
         invocation: Invocation,
-        message: UpstreamRequest,
+        request: UpstreamRequest,
         deliver: Callable[[ClientResponse], None],
         unread_seconds: float = 0.0,
         client_closed: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`client_closed` looks whether the client has closed its connection, read or not."""
-        self.invocation, self.message = invocation, message
+        """Creates an exchange with no pushes.
+
+        `request`: what pushes send on. `deliver`: hands the final answer to the client. `unread_seconds`: how
+        long the invocation waited before it was read. `client_closed`: whether the client has closed its
+        connection, even if that has not been read yet.
+        """
+        self.invocation, self.request = invocation, request
         self.answer: ClientResponse | None = None
-        self.client_gone = False  # the client left before its answer
-        self.push_scopes: list[anyio.CancelScope] = []  # of the pushes, by number
-        self.unread_seconds = unread_seconds  # seconds that it lay unread
-        self.time_budget = invocation.time_left  # seconds, from its last byte on
-        self.body_incoming = message.body_pipe is not None  # its body is still on its way
-        self.pending_pushes = 0  # pushes that have not ended
+        self.client_gone = False  # set once the client is known to have left before its answer
+        self.push_scopes: list[anyio.CancelScope] = []  # by push number
+        self.unread_seconds = unread_seconds
+        self.time_budget = invocation.time_left  # seconds, counted from the last byte of the invocation
+        self.body_incoming = request.body_pipe is not None  # the last byte of its body has not arrived
+        self.pending_pushes = 0
         self._deliver, self._client_closed = deliver, client_closed
 
     @property
     def client_closed(self) -> bool:
-        """Whether its client has gone as of now, also where nobody has read of it yet."""
+        """Whether the client has left as of now; looks at its connection unless that is already known."""
         return self.client_gone or self._client_closed()
 
     @property
     def finished(self) -> bool:
+        """Whether there is a final answer, or no client any more to give one to."""
         return self.client_gone or self.answer is not None
 
     def finish(self, answer: ClientResponse) -> None:
-        """The first final answer goes to the client; nothing does after it."""
+        """Delivers the final answer; does nothing if the exchange is finished already."""
         if not self.finished:
             self.answer = answer
             self._deliver(answer)
 
-    def observe_answer(self, look: Callable[[ClientResponse], None]) -> None:
-        """`look` sees the final answer before it is delivered; it must not fail."""
+    def observe_answer(self, observer: Callable[[ClientResponse], None]) -> None:
+        """Calls `observer` with the final answer before it is delivered; `observer` must not raise."""
         deliver = self._deliver
 
-        def both(answer: ClientResponse) -> None:
-            look(answer)
+        def observe_and_deliver(answer: ClientResponse) -> None:
+            observer(answer)
             deliver(answer)
 
-        self._deliver = both
+        self._deliver = observe_and_deliver
 
     def cancel_pushes(self) -> None:
+        """Cancels all pushes of this exchange."""
         for scope in self.push_scopes:
             scope.cancel()
 
     def open_push(self) -> tuple[int, anyio.CancelScope]:
+        """Registers a new push; returns its number, counted from 0, and the scope that cancels it."""
         scope = anyio.CancelScope()
         self.push_scopes.append(scope)
         self.pending_pushes += 1
--- a/thornladder/node/http1.py
+++ b/thornladder/node/http1.py
@@ -193,8 +193,8 @@
                 data += self.http.send(h11.Data(data=body)) or b""
             data += self.http.send(h11.EndOfMessage()) or b""
             if len(data) > self.SINGLE_WRITE_BYTES:
-                # A write that is given up while still in progress may yet reach the backend whole. So the last
-                # byte is sent apart: before it the request cannot have run, from it on it may have.
+                # A write that is given up while still in progress may yet reach the backend whole. So the
+                # last byte is sent apart: before it the request cannot have run, from it on it may have.
                 await self.stream.send(data[:-1])
                 data, self.stage = data[-1:], Stage.SENT
             if self.stage is Stage.SENT or not streams.try_write(self.stream, data):
--- a/thornladder/node/tasks.py
+++ b/thornladder/node/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that belong to no one connection: an error in one of them ends what it concerns, and not the node."""
+"""Background tasks of the node: an unexpected error ends the task that it occurs in, and not the node."""
 
 from __future__ import annotations
 
@@ -10,43 +10,42 @@
 
 
 class Tasks:
-    """A task group whose tasks cannot end each other. Cancelling it ends them all."""
+    """A task group in which an error of one task does not cancel the others."""
 
-    RESTART_DELAY_SECONDS = (
-        0.05  # seconds until a task that is kept begins anew: no loop of errors, nobody waits for long
-    )
-    MAX_RESTART_DELAY_SECONDS = (
-        0.4  # seconds: the longest such wait, which doubles with each error that follows at once
-    )
+    # Delay before a supervised task is restarted: long enough not to spin on errors, short for those who
+    # wait.
+    RESTART_DELAY_SECONDS = 0.05
+    MAX_RESTART_DELAY_SECONDS = 0.4  # the delay doubles up to this with each error soon after a restart
 
     def __init__(self, group: TaskGroup, log: Any) -> None:
         self.group, self.log = group, log
 
-    def start(self, what: str, task: Callable[..., Awaitable[None]], *given: Any) -> None:
-        """Runs it beside the others; `what` names it in the log line of an error that nobody foresaw."""
-        self.group.start_soon(self._run, what, task, given)
+    def start(self, name: str, task: Callable[..., Awaitable[None]], *args: Any) -> None:
+        """Runs a task in the background; an unexpected error ends it and is logged as "<name> failed"."""
+        self.group.start_soon(self._run, name, task, args)
 
-    def supervise(self, what: str, task: Callable[..., Awaitable[None]], *given: Any) -> None:
-        """The same for one that the node cannot do without: after an error it begins anew."""
-        self.group.start_soon(self._supervise, what, task, given)
+    def supervise(self, name: str, task: Callable[..., Awaitable[None]], *args: Any) -> None:
+        """Runs a task that the node cannot do without: after an error it is restarted, with a backoff."""
+        self.group.start_soon(self._supervise, name, task, args)
 
     def cancel_all(self) -> None:
+        """Cancels every task of the group."""
         self.group.cancel_scope.cancel()
 
-    async def _run(self, what: str, task: Callable[..., Awaitable[None]], given: tuple) -> bool:
+    async def _run(self, name: str, task: Callable[..., Awaitable[None]], args: tuple) -> bool:
         try:
-            await task(*given)
+            await task(*args)
         except Exception:
-            self.log.exception(f"{what} failed")
+            self.log.exception(f"{name} failed")
             return False
         return True
 
-    async def _supervise(self, what: str, task: Callable[..., Awaitable[None]], given: tuple) -> None:
-        wait = self.RESTART_DELAY_SECONDS
-        began = anyio.current_time()
-        while not await self._run(what, task, given):
-            if anyio.current_time() - began > self.MAX_RESTART_DELAY_SECONDS:
-                wait = self.RESTART_DELAY_SECONDS  # it had run well
-            await anyio.sleep(wait)
-            wait = min(2.0 * wait, self.MAX_RESTART_DELAY_SECONDS)
-            began = anyio.current_time()
+    async def _supervise(self, name: str, task: Callable[..., Awaitable[None]], args: tuple) -> None:
+        delay = self.RESTART_DELAY_SECONDS
+        started_at = anyio.current_time()
+        while not await self._run(name, task, args):
+            if anyio.current_time() - started_at > self.MAX_RESTART_DELAY_SECONDS:
+                delay = self.RESTART_DELAY_SECONDS  # it ran well before this error
+            await anyio.sleep(delay)
+            delay = min(2.0 * delay, self.MAX_RESTART_DELAY_SECONDS)
+            started_at = anyio.current_time()
