--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,7 +15,7 @@
 from thornladder.node.backends.pushes import outcome_of
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.discovery.watch import Watch
-from thornladder.node.http1 import Cause, Failure, Line, Stage
+from thornladder.node.http1 import Cause, Failure, Stage, UpstreamConnection
 from thornladder.node.messages import MAX_BODY_BYTES, MAX_BUFFERED_BYTES, UpstreamRequest, UpstreamResponse
 
 pytestmark = pytest.mark.anyio
@@ -207,7 +207,7 @@
 
 async def test_half_an_invocation_is_told_so_and_silence_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     # Was kept for 15 and 120 s, also while a byte now and then trickled in.
-    monkeypatch.setattr(ClientConnection, "WHOLE", 0.3)
+    monkeypatch.setattr(ClientConnection, "RECEIVE_TIMEOUT_SECONDS", 0.3)
     async with LoopbackCluster(done) as bank:
         silent, half, usual = await bank.client(), await bank.client(), await bank.client()
         assert (await usual.ask("aa", "look")).target == "200"
@@ -228,7 +228,7 @@
 
 async def test_a_watch_outlives_calls_that_take_longer_than_its_pace(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ended the node: the rest of the pace came out negative after a call that had waited.
-    monkeypatch.setattr(Watch, "PACE", 0.0)
+    monkeypatch.setattr(Watch, "MIN_POLL_INTERVAL_SECONDS", 0.0)
     async with LoopbackCluster(done, tells=lambda _: list_reply(1)) as bank:
         await wait_until(lambda: len(bank.discovery.got) >= 10)
         assert (await bank.ask("aa", "look")).target == "200"
@@ -259,9 +259,9 @@
 
 
 async def test_a_silent_call_is_given_up_and_made_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Watch, "FIRST", 0.05)
-    monkeypatch.setattr(Watch, "HOLD", 0.05)
-    monkeypatch.setattr(Watch, "PATIENCE", 0.05)
+    monkeypatch.setattr(Watch, "FIRST_POLL_TIMEOUT_SECONDS", 0.05)
+    monkeypatch.setattr(Watch, "LONG_POLL_SECONDS", 0.05)
+    monkeypatch.setattr(Watch, "RESPONSE_TIMEOUT_SECONDS", 0.05)
     async with LoopbackCluster(done) as bank:
         # The watch's second call finds silence, as when the way to discovery is cut.
         await wait_until(lambda: bank.discovery.closed >= 1)
@@ -273,7 +273,7 @@
         assert (await bank.ask("aa", "look")).target == "503"
         began, count = anyio.current_time(), len(bank.discovery.got)
         await wait_until(lambda: len(bank.discovery.got) >= count + 4)
-        assert anyio.current_time() - began > 2 * Watch.PACE  # not as fast as it answers
+        assert anyio.current_time() - began > 2 * Watch.MIN_POLL_INTERVAL_SECONDS  # not as fast as it answers
 
 
 async def test_idle_connections_make_room_for_others() -> None:
@@ -427,10 +427,10 @@
 )  # fmt: skip
 async def test_a_large_push_is_sure_not_to_have_run_only_before_its_last_byte(size, sends, stage) -> None:
     stream = Giving(sends)
-    line = Line(stream)
+    line = UpstreamConnection(stream)
     request = h11.Request(method="POST", target="/", headers=[("Host", "a"), ("Content-Length", str(size))])
     message = UpstreamRequest(b"POST", b"/", [], b"x" * size)
-    assert await line.ask(request, message) == Failure(stage, Cause.BROKEN)
+    assert await line.round_trip(request, message) == Failure(stage, Cause.BROKEN)
     assert stream.sent.endswith(b"x" * size) == (stage is Stage.SENT and (size < 4096 or sends == 2))
 
 
@@ -440,8 +440,8 @@
 
     unreachable, broken = Outcome.UNREACHABLE, Outcome.CONNECTION_LOST
     assert ends(Cause.BROKEN) == [unreachable, unreachable, broken, broken]
-    assert ends(Cause.TIME_OUT) == [Outcome.NOT_SENT] * 2 + [Outcome.TIMED_OUT] * 2
-    assert ends(Cause.SPOILT) == [Outcome.ERROR] * 4
+    assert ends(Cause.TIMEOUT) == [Outcome.NOT_SENT] * 2 + [Outcome.TIMED_OUT] * 2
+    assert ends(Cause.MALFORMED) == [Outcome.ERROR] * 4
     assert ends(Cause.CANCELLED) == [Outcome.NOT_SENT] * 2 + [Outcome.CANCELLED] * 2
     refusal = [(b"x-rejected", b"1")]
     assert (
@@ -459,11 +459,11 @@
 async def test_a_kept_connection_that_breaks_under_the_write_says_nothing_of_its_process() -> None:
     # Two of them passed for a dead process, which was ejected and then ramped.
     stream = Giving(1)
-    line = Line(stream)
+    line = UpstreamConnection(stream)
     request = h11.Request(method="GET", target="/", headers=[("Host", "a")])
-    assert (await line.ask(request)).cause is Cause.BROKEN  # sent whole, and no answer
+    assert (await line.round_trip(request)).cause is Cause.BROKEN  # sent whole, and no answer
     line.http = h11.Connection(h11.CLIENT)
-    result = await line.ask(request)
+    result = await line.round_trip(request)
     assert result == Failure(Stage.WRITING, Cause.STALE) and outcome_of(result) is Outcome.NOT_SENT
-    fresh = await Line(Giving(0)).ask(request)
+    fresh = await UpstreamConnection(Giving(0)).round_trip(request)
     assert fresh == Failure(Stage.WRITING, Cause.BROKEN) and outcome_of(fresh) is Outcome.UNREACHABLE
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -23,10 +23,10 @@
 from test_process import NODE_COMMAND
 
 from thornladder.interface import Entry, ListKind, State
-from thornladder.node.admin.calls import MOST_BODY
-from thornladder.node.admin.server import Admin
+from thornladder.node.admin.calls import MAX_BODY_BYTES
+from thornladder.node.admin.server import AdminServer
 from thornladder.node.clients.front import Front
-from thornladder.node.handover import Marks, Sheet
+from thornladder.node.handover import Marks, StateFile
 from thornladder.node.maintenance import Maintenance, Mark
 from thornladder.node.messages import DiscoveryResponse
 
@@ -77,7 +77,7 @@
     "text, status",
     [(b"", 400), (b"{", 400), (b"[]", 400), (b"{}", 400), (body(3), 400), (body(""), 400), (body(None), 400),
      (b'{"host": "s0"', 400), (b"\xff\xfe", 400), (body("x" * 300), 400), (body("nobody"), 404),
-     (b" " * (MOST_BODY + 1), 413)],
+     (b" " * (MAX_BODY_BYTES + 1), 413)],
     ids=[str(number) for number in range(12)],
 )  # fmt: skip
 async def test_maintenance_of_what_is_no_backend_is_a_no(text: bytes, status: int) -> None:
@@ -93,7 +93,7 @@
     text = body("s0")
     raw = b"POST /maintenance/enter HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
     async with LoopbackCluster(done, done, sockets=80) as bank:
-        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * Admin.MOST)]
+        crowd = [await anyio.connect_tcp("127.0.0.1", bank.admin) for _ in range(3 * AdminServer.MOST)]
         for each in crowd[::2]:
             await each.send(b"POST /sta")
         async with await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
@@ -111,7 +111,7 @@
 
 
 async def test_a_call_that_does_not_come_whole_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Admin, "WHOLE", 0.1)
+    monkeypatch.setattr(AdminServer, "WHOLE", 0.1)
     async with LoopbackCluster(done) as bank, await anyio.connect_tcp("127.0.0.1", bank.admin) as stream:
         await stream.send(
             b"POST /standby HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
@@ -169,8 +169,8 @@
 
 
 async def test_standby_sends_clients_away_and_active_takes_them_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Front, "AWAY", 0.4)
-    monkeypatch.setattr(Front, "QUIET_FIRST", 0.1)
+    monkeypatch.setattr(Front, "STANDBY_GRACE_SECONDS", 0.4)
+    monkeypatch.setattr(Front, "STANDBY_IDLE_SECONDS", 0.1)
     async with LoopbackCluster(lambda got: None if got.target == "/look" else reply(200)) as bank:
         idle, used, busy = [await bank.client() for _ in range(3)]
         assert (await idle.ask("a0", "pay", body=b"x")).headers.get("connection") is None
@@ -244,7 +244,7 @@
     assert one.load() == {}
     path.write_bytes(whole.replace(b"true", b"trve", 1))
     assert one.load() == {}
-    Sheet(str(tmp_path), "n/1", "maintenance").write({"marks": [{"id": "a", "out": 3}, 4]})
+    StateFile(str(tmp_path), "n/1", "maintenance").write({"marks": [{"id": "a", "out": 3}, 4]})
     assert one.load() == {}
     assert not [each for each in tmp_path.iterdir() if each.suffix.isdigit()]
 
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -17,13 +17,13 @@
 from thornladder import decide
 from thornladder.node import messages, streams
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import ClientConnection
 from thornladder.node.clients.front import Front
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.exchange import Exchange
-from thornladder.node.host import Lag, NodeHost
-from thornladder.node.http1 import Line
+from thornladder.node.host import EventLoopLag, NodeHost
+from thornladder.node.http1 import UpstreamConnection
 
 pytestmark = pytest.mark.anyio
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, ConnectionError,
@@ -35,13 +35,28 @@
         (decide.Node, ("on_invocation", "on_push_ended", "on_client_gone", "on_list"), 7),
         (decide.Node, ("may_push", "may_nack", "_rebuild"), 11),
         (decide.Node, ("on_timer", "_sweep"), 2),
-        (ClientConnection, ("look", "close_idle", "_answer", "_advance", "_whole", "_write"), 5),
-        (Front, ("_accept", "_make_room", "sweep"), 3),
-        (Line, ("ask", "close"), 5),
-        (Pool, ("get", "sweep", "_close_left"), 5),
-        (Pushes, ("on_list", "forget", "_ask"), 5),
-        (Watch, ("_call", "_astray"), 2),
-        (NodeHost, ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "list_told"), 5),
+        (
+            ClientConnection,
+            (
+                "enforce_timeouts",
+                "close_if_idle",
+                "_respond",
+                "_process_events",
+                "_handle_message",
+                "_write_loop",
+            ),
+            5,
+        ),
+        (Front, ("_accept_pending", "_make_room", "sweep"), 3),
+        (UpstreamConnection, ("round_trip", "close"), 5),
+        (Pool, ("acquire", "close_expired", "_close_discarded"), 5),
+        (PushDispatcher, ("on_list", "forget_departed", "_send"), 5),
+        (Watch, ("_poll", "_is_version_regression"), 2),
+        (
+            NodeHost,
+            ("start_invocation", "client_disconnected", "push_ended", "push", "nack", "on_list_answer"),
+            5,
+        ),
         (Exchange, ("finish",), 5),
         (
             messages,
@@ -180,7 +195,7 @@
     plant = Plant(every, node_only if owner in (h11.Connection, SocketStream) else lambda: True)
     monkeypatch.setattr(owner, name, plant.into(getattr(owner, name)))
     if name == "seconds_since_last_data":
-        monkeypatch.setattr(Lag, "late", True)  # it is asked only then
+        monkeypatch.setattr(EventLoopLag, "is_late", True)  # it is asked only then
     bank = Rough(answer, answer, answer, sockets=60, tells=tells)
     async with bank:
         await crowd(bank)
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -14,12 +14,12 @@
 
 from thornladder import settings
 from thornladder.fields import MalformedError
-from thornladder.node.admin.server import Admin
+from thornladder.node.admin.server import AdminServer
 from thornladder.node.backends.pool import Pool
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.clients.connection import ServerState
 from thornladder.node.clients.front import Front
-from thornladder.node.companion import Companion, Surroundings
+from thornladder.node.companion import NodeContext, NodeExtension
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.handover import Deployment, Learned, Lessons, Marks, Phase, Places, Seen
 from thornladder.node.host import Clock, NodeHost
@@ -39,7 +39,11 @@
 
 
 async def run(
-    config: Config, known: DiscoveryResponse, log: Any, path: str = "", companions: Sequence[Companion] = ()
+    config: Config,
+    known: DiscoveryResponse,
+    log: Any,
+    path: str = "",
+    extensions: Sequence[NodeExtension] = (),
 ) -> None:
     """`path` names the file that the configuration came from, to be read again on SIGHUP."""
     clock = Clock()
@@ -49,7 +53,7 @@
         listener = socket.socket(fileno=config.inherited)
         listener.setblocking(False)
     second = _listener(config.admin) if config.admin else None
-    kept = SPARE + (Admin.DESCRIPTORS if second else 0) + sum(each.descriptors for each in companions)
+    kept = SPARE + (AdminServer.DESCRIPTORS if second else 0) + sum(each.descriptors for each in extensions)
     sockets = max(config.sockets - kept, 8)
     clients = round(CLIENTS * sockets)
     async with anyio.create_task_group() as group:
@@ -60,37 +64,39 @@
         pool = Pool(sockets - clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
         held = BodyBudget(max(config.memory // LARGE_BODIES, 2**20))
         reports = config.decisions["limits"].probes_per_invocation > 0.0
-        pushes = Pushes(
+        pushes = PushDispatcher(
             pool, transport.drain_grace, transport.soft_removal, held, tasks, host, clock, log, reports
         )
-        watch = Watch(config.discovery, known.version, tasks, host.list_told, log, pushed=config.list_is_told)
+        watch = Watch(
+            config.discovery, known.version, tasks, host.on_list_answer, log, list_pushed=config.list_is_told
+        )
         host.start(
             pushes, watch, known, config.seed, config.list_is_told, config.decisions, handover.learned.room
         )
-        handler, shed_policy = host, host.turns_away
-        for each in companions:
-            handler, shed_policy = each.between(handler, shed_policy)
+        handler, shed_policy = host, host.shed_retry_after
+        for each in extensions:
+            handler, shed_policy = each.wrap(handler, shed_policy)
         server_state = ServerState(
-            handler, host.node.offerings, clock, held, lambda: host.lag.late, shed_policy, log
+            handler, host.node.offerings, clock, held, lambda: host.lag.is_late, shed_policy, log
         )
         asking = max(round(ASKING * config.sockets), 4)
         front = Front(server_state, clients, tasks, config.inherited is not None, asking)
-        further = {path: call for each in companions for path, call in each.calls().items()}
+        further = {path: call for each in extensions for path, call in each.admin_endpoints().items()}
         operations = Operations(host, front, handover.marks.add, log, further)
-        tasks.keep("a look at idle connections", _sweep, front, pushes)
-        tasks.keep("the handover", handover.run, host, front, pool, held)
-        around = Surroundings(
+        tasks.supervise("a look at idle connections", _sweep, front, pushes)
+        tasks.supervise("the handover", handover.run, host, front, pool, held)
+        context = NodeContext(
             config.name, config.seed, config.folder, config.decisions["nodes"], config.admin, tasks, log,
             partial(handover.count, host), lambda: reload.config.raw["settings"],
         )  # fmt: skip
         reload = Reload(path, config, Parts(host, server_state, pushes, watch, handover), log)
-        for each in companions:
-            each.start(around)
-        await group.start(_heed_signals, front, reload, handover, tasks, log, companions)
+        for each in extensions:
+            each.start(context)
+        await group.start(_heed_signals, front, reload, handover, tasks, log, extensions)
         tasks.start("opening the door", _open, front, host, handover, tasks, listener)
         if second:
-            admin = Admin(operations, tasks, log, {path: call.method for path, call in further.items()})
-            tasks.keep("taking operators' calls", admin.run, second)
+            admin = AdminServer(operations, tasks, log, {path: call.method for path, call in further.items()})
+            tasks.supervise("taking operators' calls", admin.run, second)
         log.info(
             "serving", name=config.name, listen=list(listener.getsockname()), backends=len(known.entries),
             cores=config.cores, sockets=config.sockets, admin=list(second.getsockname()) if second else None,
@@ -113,7 +119,7 @@
         return
     handover.phase = Phase.SERVING
     handover.look(host)
-    tasks.keep("accepting", front.run, listener)
+    tasks.supervise("accepting", front.run, listener)
 
 
 class Handover:
@@ -147,10 +153,10 @@
 
     async def run(self, host: NodeHost, front: Front, pool: Pool, held: BodyBudget) -> None:
         # As it was at the start: after an error this begins anew.
-        self.whole = self.whole or (front.max_connections, pool.most, held.limit)
+        self.whole = self.whole or (front.max_connections, pool.max_connections, held.limit)
         clients, backends, memory = self.whole
         while True:
-            self.used = front.connection_count + pool.held
+            self.used = front.connection_count + pool.open_connections
             self.look(host)
             # Descriptors and memory are one node's, whoever serves. Guards against connections closed, and
             # others left unread, when one that serves is cut to a half and the other holds next to nothing.
@@ -158,7 +164,9 @@
             others = sum(seen.used + SPARE for seen in self.beside)
             spare = max(clients + backends - self.used - others, 0) // parts
             front.max_connections = min(clients, max(front.connection_count + round(CLIENTS * spare), 4))
-            pool.most = min(backends, max(pool.held + round((1.0 - CLIENTS) * spare), 4))
+            pool.max_connections = min(
+                backends, max(pool.open_connections + round((1.0 - CLIENTS) * spare), 4)
+            )
             held.limit = memory // parts
             await anyio.sleep(self.LOOK)
 
@@ -207,12 +215,12 @@
                 self.log.warning("what was learned could not be written down", error=repr(error))
 
 
-async def _sweep(front: Front, pushes: Pushes) -> None:
+async def _sweep(front: Front, pushes: PushDispatcher) -> None:
     while True:
         await anyio.sleep(SWEEP)
         front.sweep()
-        pushes.forget()
-        await pushes.pool.sweep()
+        pushes.forget_departed()
+        await pushes.pool.close_expired()
 
 
 class Parts(NamedTuple):
@@ -220,7 +228,7 @@
 
     host: NodeHost
     server_state: ServerState
-    pushes: Pushes
+    pushes: PushDispatcher
     watch: Watch
     handover: Handover
 
@@ -254,8 +262,8 @@
         host, server_state, pushes, _, handover = self.parts
         handover.retune(config.decisions, host)
         server_state.set_offerings(host.node.offerings)
-        pushes.grace, pushes.soft = config.transport.drain_grace, config.transport.soft_removal
-        pushes.pool.retune(config.transport.backend_idle_timeout, config.transport.connect_timeout)
+        pushes.drain_grace, pushes.soft_removal = config.transport.drain_grace, config.transport.soft_removal
+        pushes.pool.set_timeouts(config.transport.backend_idle_timeout, config.transport.connect_timeout)
         self.log.info("settings taken", offerings=sorted(host.node.offerings))
 
 
@@ -265,7 +273,7 @@
     handover: Handover,
     tasks: Tasks,
     log: Any,
-    companions: Sequence[Companion],
+    extensions: Sequence[NodeExtension],
     *,
     task_status: TaskStatus,
 ) -> None:
@@ -283,15 +291,15 @@
                 leaving = True
                 handover.leave(front)
                 log.info("leaving", signal=number.name)
-                tasks.start("leaving", _leave, front, tasks, log, companions)
+                tasks.start("leaving", _leave, front, tasks, log, extensions)
 
 
-async def _leave(front: Front, tasks: Tasks, log: Any, companions: Sequence[Companion]) -> None:
+async def _leave(front: Front, tasks: Tasks, log: Any, extensions: Sequence[NodeExtension]) -> None:
     try:
         await front.drain()
-        for each in companions:
+        for each in extensions:
             with anyio.move_on_after(LAST_WORD):
-                await each.leave(front.server_state.has_successor)
+                await each.stop(front.server_state.has_successor)
         log.info("left")
     finally:
-        tasks.end()
+        tasks.cancel_all()
