--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -57,9 +57,8 @@
         self.ramp_start: float | None = None  # None once it takes full weight
         self.absent_since: float | None = None
         self.usable, self.started_at = False, 0.0  # usable: the list permits pushes to it
-        self.drain_listed = self.delisted = (
-            False  # since it was last listed as running: by a drain; in any way
-        )
+        # Whether it has left the list since it was last listed as running: by a drain; in any way.
+        self.drain_listed = self.delisted = False
         self.update(entry)
 
     def update(self, entry: Entry) -> None:
@@ -91,7 +90,8 @@
 class BackendRegistry:
     """The listed backends, and since when each one is in slow start."""
 
-    # Backends that restarted late are in the first fresh list, which takes a call or two to arrive.
+    # The first fresh list, which takes a call or two, may hold backends that the list from before this node's
+    # start lacks. Within this time they count as mature.
     STARTUP_GRACE_SECONDS = 5.0
 
     def __init__(self, now: float) -> None:
@@ -160,7 +160,8 @@
     With little traffic over many backends a node would meet each about once a minute and learn nothing of it.
     """
 
-    REVISIT_SECONDS, MIN_BACKENDS = 4.0, 8  # to meet each once within the health memory; to spare a few
+    # Each backend is met once within the health memory; enough backends to lose a few and still choose.
+    REVISIT_SECONDS, MIN_BACKENDS = 4.0, 8
 
     def __init__(self, rank: int = 0) -> None:
         self.rank, self.stride = rank, 1
@@ -326,10 +327,8 @@
         self.cold_pushes: deque[tuple[float, float]] = deque()  # during slow start: time and expected cost
         # Other nodes' pushes in flight there by the last load report, and when that came.
         self.others_in_flight, self.reported_at = 0.0, -inf
-        self.reported_failure, self.probe_sent_at = (
-            "",
-            None,
-        )  # cause seen in the last report; None: no probe out
+        # The ejection cause that the last report shows; when the probe that is out was sent, else None.
+        self.reported_failure, self.probe_sent_at = "", None
 
     def add_push(self, active: ActiveInvocation, push: Push) -> None:
         self.in_flight[active.invocation.id, active.pushes.index(push)] = push
@@ -360,14 +359,12 @@
     MIN_LABEL_SAMPLES = 1.0  # recent responses of an offering or tenant: fewer show no dependency delay
     IDLE_CPU, SATURATED_CPU = 0.7, 0.85  # below the first nothing waits for a core; above, waits up to double
     CPU_REPORT_TTL_SECONDS = 4.0  # as long as the health memory
-    RECENT_RESPONSE_SECONDS = (
-        1.0  # a backend that answered lately but takes no connection is only short of them
-    )
+    # A backend that has answered within this time and takes no connection is only short of connections.
+    RECENT_RESPONSE_SECONDS = 1.0
     # Probability that a healthy backend has this many breaks in a row; the limit while others fail too.
     FALSE_POSITIVE_RATE, MAX_CONNECTION_FAILURES = 0.001, 4
-    LOST_OVERTAKES = (
-        2  # more than a second worker explains: the response is lost and tells nothing of a queue
-    )
+    # Overtaken by more pushes than a second worker explains: the response is lost and shows no queue.
+    LOST_OVERTAKES = 2
     REJECTIONS_BEFORE_BACKOFF = 3  # in a row: at a rejection rate of one half chance seldom makes more
     PROBE_SILENCE_SECONDS = 0.1  # probes return within a few hundredths unless the backend has gone silent
     # How long a stuck backend's invocations stay, by when all are late; decay of a load report, to 1/e.
@@ -393,10 +390,8 @@
             DecayingMean(30.0),
             DecayingMean(30.0),
         )
-        self.zone_priors, self.zone_priors_key = (
-            {},
-            None,
-        )  # a cache by zone; the time and cost it is valid for
+        # A cache by zone, and the time and cost that it is valid for.
+        self.zone_priors, self.zone_priors_key = {}, None
 
     def set_memory(self, backends: list[Backend], rate: float) -> None:
         """Lengthen the memory under light traffic, so that it holds enough responses of each backend."""
@@ -434,10 +429,8 @@
 
     def cost(self, offering: Offering, now: float) -> float:
         """Seconds for which an invocation keeps a typical backend busy, by pushes that found it idle."""
-        mean, guess = (
-            self.offering_cost[offering.name],
-            offering.target_time / 5.0,
-        )  # used until there are samples
+        # The guess counts as one sample, and alone until there are others.
+        mean, guess = self.offering_cost[offering.name], offering.target_time / 5.0
         return (mean.total.read(now) + guess) / (mean.count.read(now) + 1.0)
 
     def dependency_delay(self, active: ActiveInvocation, now: float) -> float:
@@ -694,9 +687,8 @@
     # Share of late pushes that lowers the limit: more than a slow fifth of the fleet makes. From half of it
     # on, hedged copies do harm.
     MAX_LATE_RATIO, CONGESTED_LATE_RATIO = 0.3, 0.15
-    DECREASE_PAUSE = (
-        0.2  # of the span looked back on, so that the effect of a decrease is seen before the next
-    )
+    # Of the span looked back on, so that the effect of a decrease is seen before the next one.
+    DECREASE_PAUSE = 0.2
     MIN_LIMIT_PER_BACKEND = 1.0  # with fewer nothing queues, so that late answers have another cause
     MIN_SPAN_INVOCATIONS = 16.0  # a span with fewer tells nothing of how many pushes are in flight or late
     # Growth in a second, per backend or as a part of the limit, so that it follows a surge.
@@ -762,9 +754,8 @@
         """Utility of an invocation for the work that it makes, relative to the best there is, from 0 to 1."""
         part = self.over_share_worth if active.over_share else 1.0
         if active.invocation.is_retry:
-            part *= (
-                active.offering.late_utility_share
-            )  # the target time of the first try has most likely passed
+            # The target time of the first try has most likely passed.
+            part *= active.offering.late_utility_share
         return self.offering_rank(active.offering, active.cost, part)
 
     def offering_rank(self, offering: Offering, cost: float, part: float = 1.0) -> float:
@@ -777,7 +768,7 @@
         return utility / self.best_utility_rate if self.best_utility_rate else 0.0
 
     def effective_utility(self, offering: Offering) -> float:
-        """Its utility; for the least one plus what the worst-served offering counts for by itself."""
+        """Its utility; that of the least is raised by what the worst-served offering counts for by itself."""
         if not (self.worst_offering and self.arrivals_by_offering) or offering.utility > self.min_utility:
             return offering.utility
         total = sum(
@@ -787,7 +778,10 @@
         return min(offering.utility + self.worst_offering * (alone - offering.utility), self.max_utility)
 
     def on_arrival(self, active: ActiveInvocation, now: float) -> None:
-        """Count an invocation and take a token from its tenant's bucket, a share of its allowance."""
+        """Count an invocation and take a token from its tenant's bucket.
+
+        The bucket fills at this node's part of the tenant's allowance.
+        """
         self.arrivals.add(1.0, now)
         self.arrivals_by_offering[active.offering.name] += 1.0
         rate = self.tenant_rates.get(active.invocation.tenant)
@@ -866,9 +860,8 @@
     TARGET_DELAY_SHARE = 0.25
     # Change of the pressure in a second, at twice the target and at no delay: both act within some tenths.
     RISE_PER_SECOND, FALL_PER_SECOND = 2.0, 1.0
-    MAX_STEP_SECONDS = (
-        0.03  # what one observation counts for at most, as between two timers: a stall is no load
-    )
+    # What one observation counts for at most, as between two timers: a single stall is no overload.
+    MAX_STEP_SECONDS = 0.03
 
     def __init__(self, target_delay: float = 1.0) -> None:
         self.target_delay, self.pressure, self.updated_at = self.TARGET_DELAY_SHARE * target_delay, 0.0, 0.0
@@ -921,6 +914,7 @@
 
     @property
     def may_have_run(self) -> bool:
+        """Whether any push is in flight or ended in a way that leaves it open."""
         return any(push.outcome is None or not push.outcome.never_ran for push in self.pushes)
 
     @property
@@ -940,9 +934,8 @@
 
     REBUILD_SECONDS = 1.0  # between rebuilds of the rotation
     SWEEP_SECONDS = 0.025  # between checks of unanswered pushes: a tenth of the shortest usual target time
-    CROSS_ZONE_SHARE = (
-        0.3  # of the target time: another zone must be quicker by this, as crossing zones costs
-    )
+    # Of the target time: another zone must be quicker by this much, since crossing zones has a price.
+    CROSS_ZONE_SHARE = 0.3
     # No answer takes less; a load report younger than this is not worth the price of a new one.
     MIN_TIME_LEFT_SECONDS, FRESH_REPORT_SECONDS = 0.005, 0.05
     WATCH_RETRY_SECONDS = 0.25  # mean delay before a failed watch is begun anew
@@ -976,9 +969,15 @@
         """Apply new settings. What was learned stays; active invocations keep the offering they came with."""
         applied = api.DecisionSettings(**settings)
         self.zone, self.subset.rank, self.nodes = applied.zone, applied.rank, applied.nodes
-        self.limits, self.cold, self.must_ask_in = applied.limits, applied.cold, applied.must_ask_in or inf
+        self.limits, self.slow_start_rule, self.must_ask_in = (
+            applied.limits,
+            applied.cold,
+            applied.must_ask_in or inf,
+        )
         self.offerings = {offering.name: offering for offering in applied.offerings}
-        self.slow_start = self.registry.slow_start = SlowStart(self.cold.warm_up, self.cold.initial_capacity)
+        self.slow_start = self.registry.slow_start = SlowStart(
+            self.slow_start_rule.warm_up, self.slow_start_rule.initial_capacity
+        )
         self.retry_budget = self.retry_budget.with_rule(
             self.limits.retry_budget or RetryPolicy.DEFAULT_BUDGET, now
         )
@@ -1185,7 +1184,7 @@
         half = 0.5 * self.slow_start.ratio(backend, now)
         return (
             min(half, 0.75 * max(half, self.slow_start.initial_ratio))
-            * self.cold.overload_multiple
+            * self.slow_start_rule.overload_multiple
             * size
             / self.nodes
         )
@@ -1193,10 +1192,10 @@
     def _cold_budget_allows(self, backend: Backend, cost: float, now: float) -> bool:
         """Whether that part, over any window of the rule's length, has room for `cost` or is unused."""
         sent = self.health.stats_of(backend).cold_pushes
-        while sent and sent[0][0] <= now - self.cold.overload_window:
+        while sent and sent[0][0] <= now - self.slow_start_rule.overload_window:
             sent.popleft()
         spent = sum(spent for _, spent in sent) + cost
-        return not sent or spent <= self._cold_rate(backend, now) * self.cold.overload_window
+        return not sent or spent <= self._cold_rate(backend, now) * self.slow_start_rule.overload_window
 
     def _admits_cold(self, backend: Backend, share: float, cost: float, now: float) -> bool:
         """Admit pushes to a backend in slow start by chance where this node's part is too small for one.
@@ -1206,9 +1205,11 @@
         """
         part, frequency = (
             self._cold_rate(backend, now),
-            max(self._arrival_rate(now), share / self.cold.overload_window) * share,
+            max(self._arrival_rate(now), share / self.slow_start_rule.overload_window) * share,
+        )
+        return (
+            part * self.slow_start_rule.overload_window >= cost or self.rng.random() * cost * frequency < part
         )
-        return part * self.cold.overload_window >= cost or self.rng.random() * cost * frequency < part
 
     def _arrival_rate(self, now: float) -> float:
         """Invocations a second, corrected for a node that has only begun to count them."""
