--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -85,38 +85,38 @@
     steps: list[str], rule: tuple[float, float, float], seed: int
 ) -> None:
     """Counted at the host: a push beyond the first, unless it turned out not to have been sent."""
-    bench = FakeHost(seed, further=RetryBudgetRule(*rule))
-    bench.send_list([entry(n) for n in range(8)])
+    host = FakeHost(seed, further=RetryBudgetRule(*rule))
+    host.send_list([entry(n) for n in range(8)])
     taken: list[float] = []
     ends = {"break": Outcome.CONNECTION_LOST, "full": Outcome.REJECTED, "unsent": Outcome.NOT_SENT,
             "done": Outcome.COMPLETED}  # fmt: skip
     for number, step in enumerate(steps):
         if step == "come":
-            taken.append(bench.now)
-            bench.submit(f"i{number}", ("look", "mark", "note")[number % 3])
+            taken.append(host.now)
+            host.submit(f"i{number}", ("look", "mark", "note")[number % 3])
         elif step == "wait":
-            bench.advance(0.3)
-        elif bench.open_pushes():
-            bench.end_push(*bench.open_pushes()[0], ends[step])
+            host.advance(0.3)
+        elif host.open_pushes():
+            host.end_push(*host.open_pushes()[0], ends[step])
         further = [
-            sent for account in bench.accounts.values() for number, (_, sent) in enumerate(account.pushes)
+            sent for account in host.accounts.values() for number, (_, sent) in enumerate(account.pushes)
             if number and account.ended.get(number) is not Outcome.NOT_SENT
         ]  # fmt: skip
         for end in further:
             begin = end - rule[2]
             came = sum(begin < at <= end for at in taken)
             assert sum(begin <= at <= end for at in further) <= rule[0] + rule[1] * came + 1e-9
-    settled = [each for each in bench.accounts.values() if len(each.ended) == len(each.pushes)]
+    settled = [each for each in host.accounts.values() if len(each.ended) == len(each.pushes)]
     assert all(account.final for account in settled)
 
 
 def test_without_budget_left_an_invocation_is_answered_at_once() -> None:
-    bench = FakeHost(further=RetryBudgetRule(1.0, 0.0, 5.0))
-    bench.send_list([entry(n) for n in range(8)])
+    host = FakeHost(further=RetryBudgetRule(1.0, 0.0, 5.0))
+    host.send_list([entry(n) for n in range(8)])
     for id in "ab":
-        bench.submit(id, "pay")
-        bench.end_push(id, 0, Outcome.REJECTED)
-    assert len(bench.accounts["a"].pushes) == 2 and bench.accounts["b"].final == "nacked"
+        host.submit(id, "pay")
+        host.end_push(id, 0, Outcome.REJECTED)
+    assert len(host.accounts["a"].pushes) == 2 and host.accounts["b"].final == "nacked"
 
 
 def test_a_new_span_forgets_nothing_that_was_pushed() -> None:
@@ -132,12 +132,12 @@
     return entry(number, state)._replace(zone="x")
 
 
-def serving(bench: FakeHost) -> set[str]:
+def serving(host: FakeHost) -> set[str]:
     """To which backends pushes go, all being sound."""
     met = set()
     for step in range(80):
-        account = bench.submit(f"s{bench.now}.{step}", tenant="")
-        bench.complete_all(0.02)
+        account = host.submit(f"s{host.now}.{step}", tenant="")
+        host.complete_all(0.02)
         met.add(account.pushes[0][0])
     return met
 
@@ -145,33 +145,33 @@
 @pytest.mark.parametrize("how", ["gone", "off the list"])
 def test_where_gone_does_not_bind_a_backend_goes_on_until_it_is_dead(how: str) -> None:
     """Drains do bind, also when the same backend is called gone later, until it is listed as running."""
-    bench = FakeHost(soft_removal=True)
+    host = FakeHost(soft_removal=True)
     entries = [here(n) for n in range(6)]
-    bench.send_list(entries)
-    bench.advance(6.0)
+    host.send_list(entries)
+    host.advance(6.0)
 
     def leaves(number: int, state: State) -> None:
         if how == "gone" or state is State.DRAINING:
-            bench.send_list([here(number, state)], ListKind.DELTA)
+            host.send_list([here(number, state)], ListKind.DELTA)
         else:
-            bench.send_list([each for each in entries if each.backend not in {f"b{number:02}", "b01"}])
+            host.send_list([each for each in entries if each.backend not in {f"b{number:02}", "b01"}])
 
     leaves(1, State.DRAINING)
     leaves(1, State.GONE)
     leaves(2, State.GONE)
-    assert serving(bench) == {"b00", "b02", "b03", "b04", "b05"}
-    while bench.node.health.stats_of(bench.node.registry.backends["b02"]).ejection_cause != "dead":
-        bench.submit(f"d{bench.now}", tenant="")
-        bench.advance(0.02)
-        for id, number in bench.open_pushes():
-            lost = bench.accounts[id].pushes[number][0] == "b02"
-            bench.end_push(id, number, Outcome.UNREACHABLE if lost else Outcome.COMPLETED)
-    bench.complete_all()
-    bench.advance(8.0)
-    assert "b02" not in serving(bench), "found dead, it is gone as the list says"
-    assert {backend.id for backend in bench.node.registry.usable} == {"b00", "b03", "b04", "b05"}
-    bench.send_list([here(1), here(2)], ListKind.DELTA)
-    assert {"b01", "b02"} <= {backend.id for backend in bench.node.registry.usable}
+    assert serving(host) == {"b00", "b02", "b03", "b04", "b05"}
+    while host.node.health.stats_of(host.node.registry.backends["b02"]).ejection_cause != "dead":
+        host.submit(f"d{host.now}", tenant="")
+        host.advance(0.02)
+        for id, number in host.open_pushes():
+            lost = host.accounts[id].pushes[number][0] == "b02"
+            host.end_push(id, number, Outcome.UNREACHABLE if lost else Outcome.COMPLETED)
+    host.complete_all()
+    host.advance(8.0)
+    assert "b02" not in serving(host), "found dead, it is gone as the list says"
+    assert {backend.id for backend in host.node.registry.usable} == {"b00", "b03", "b04", "b05"}
+    host.send_list([here(1), here(2)], ListKind.DELTA)
+    assert {"b01", "b02"} <= {backend.id for backend in host.node.registry.usable}
 
 
 BAD = [
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -11,56 +11,56 @@
 from thornladder.interface import ListKind, Outcome, State
 
 
-def weights(bench: FakeHost) -> dict[str, int]:
-    return {entry.backend.id: entry.weight for entry in bench.node.rotation.entries}
+def weights(host: FakeHost) -> dict[str, int]:
+    return {entry.backend.id: entry.weight for entry in host.node.rotation.entries}
 
 
-def ramped(bench: FakeHost, number: int) -> bool:
-    return bench.node.registry.backends[f"b{number:02}"].ramp_start is not None
+def ramped(host: FakeHost, number: int) -> bool:
+    return host.node.registry.backends[f"b{number:02}"].ramp_start is not None
 
 
 def test_weights_follow_the_curve_and_are_scaled() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(1, weight=2.0), entry(2, weight=1.0), entry(3, weight=0.0)], ListKind.RESTORED)
-    assert weights(bench) == {"b01": 100, "b02": 50}
-    bench.advance(6.0)
-    bench.send_list([entry(4, weight=2.0)], ListKind.DELTA)
-    start, length = bench.now, bench.node.slow_start.duration
+    host = FakeHost()
+    host.send_list([entry(1, weight=2.0), entry(2, weight=1.0), entry(3, weight=0.0)], ListKind.RESTORED)
+    assert weights(host) == {"b01": 100, "b02": 50}
+    host.advance(6.0)
+    host.send_list([entry(4, weight=2.0)], ListKind.DELTA)
+    start, length = host.now, host.node.slow_start.duration
     for part in (0.0, 0.3, 0.5, 0.8, 1.0):
-        bench.advance(start + part * length - bench.now)
-        bench.node._rebuild(bench.now)
-        assert weights(bench)["b04"] == pytest.approx(100 * max(part, 0.2), abs=1)
-    bench.send_list([entry(1)._replace(weight=None)], ListKind.DELTA)
-    assert weights(bench) == {"b01": 100, "b02": 1, "b04": 2}
+        host.advance(start + part * length - host.now)
+        host.node._rebuild(host.now)
+        assert weights(host)["b04"] == pytest.approx(100 * max(part, 0.2), abs=1)
+    host.send_list([entry(1)._replace(weight=None)], ListKind.DELTA)
+    assert weights(host) == {"b01": 100, "b02": 1, "b04": 2}
 
 
 def test_which_backends_ramp() -> None:
-    bench = FakeHost()
-    young, old = entry(2, started=bench.now - 2), entry(3, started=bench.now - 90)
-    bench.send_list([entry(1), young, old], ListKind.RESTORED)
-    assert [ramped(bench, n) for n in (1, 2, 3)] == [False, True, False]
-    bench.advance(1.0)
-    bench.send_list([entry(4), entry(5, started=bench.now - 1)], ListKind.DELTA)
-    assert not ramped(bench, 4), "the grace keeps a late arrival mature"
-    assert ramped(bench, 5), "but never hides a recent start"
-    bench.advance(9.0)
-    bench.send_list([entry(6), entry(3, started=bench.now - 1)], ListKind.DELTA)
-    assert ramped(bench, 6) and ramped(bench, 3)
-    assert bench.node.registry.backends["b03"].ramp_start == bench.now - 1
+    host = FakeHost()
+    young, old = entry(2, started=host.now - 2), entry(3, started=host.now - 90)
+    host.send_list([entry(1), young, old], ListKind.RESTORED)
+    assert [ramped(host, n) for n in (1, 2, 3)] == [False, True, False]
+    host.advance(1.0)
+    host.send_list([entry(4), entry(5, started=host.now - 1)], ListKind.DELTA)
+    assert not ramped(host, 4), "the grace keeps a late arrival mature"
+    assert ramped(host, 5), "but never hides a recent start"
+    host.advance(9.0)
+    host.send_list([entry(6), entry(3, started=host.now - 1)], ListKind.DELTA)
+    assert ramped(host, 6) and ramped(host, 3)
+    assert host.node.registry.backends["b03"].ramp_start == host.now - 1
 
 
 def test_absence_resumes_or_starts_over() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(1), entry(2)], ListKind.RESTORED)
-    length = bench.node.slow_start.duration
-    bench.send_list([entry(2, State.DRAINING)], ListKind.DELTA)
-    bench.advance(0.9 * length)
-    bench.send_list([entry(2)], ListKind.DELTA)
-    assert not ramped(bench, 2)
-    bench.send_list([entry(1)])
-    bench.advance(1.1 * length)
-    bench.send_list([entry(1), entry(2)])
-    assert bench.node.registry.backends["b02"].ramp_start == bench.now
+    host = FakeHost()
+    host.send_list([entry(1), entry(2)], ListKind.RESTORED)
+    length = host.node.slow_start.duration
+    host.send_list([entry(2, State.DRAINING)], ListKind.DELTA)
+    host.advance(0.9 * length)
+    host.send_list([entry(2)], ListKind.DELTA)
+    assert not ramped(host, 2)
+    host.send_list([entry(1)])
+    host.advance(1.1 * length)
+    host.send_list([entry(1), entry(2)])
+    assert host.node.registry.backends["b02"].ramp_start == host.now
 
 
 @pytest.mark.parametrize(("gap", "count"), [(0.01, 4000), (0.5, 400)])
@@ -91,17 +91,17 @@
 
 def test_a_process_that_broke_its_connections_comes_back_ramped() -> None:
     """Guards against a restart that the list has not told of: cold, at full weight."""
-    bench = FakeHost(probes=False)
-    bench.send_list([entry(n) for n in range(5)], ListKind.RESTORED)
-    bench.advance(6.0)
-    bench.submit("a")
-    backend = bench.lose("a")
+    host = FakeHost(probes=False)
+    host.send_list([entry(n) for n in range(5)], ListKind.RESTORED)
+    host.advance(6.0)
+    host.submit("a")
+    backend = host.lose("a")
     for step in range(400):
-        bench.submit(f"i{step}")
-        bench.complete_all(0.02)
-    known = bench.node.registry.backends[backend]
+        host.submit(f"i{step}")
+        host.complete_all(0.02)
+    known = host.node.registry.backends[backend]
     assert known.ramp_start is not None and known.ramp_start > 106.0
-    assert any(line == f"readmitted {backend}: was dead" for line in bench.log_lines)
+    assert any(line == f"readmitted {backend}: was dead" for line in host.log_lines)
 
 
 def test_a_part_is_every_nth_and_grows_when_most_of_it_is_lost() -> None:
@@ -122,16 +122,16 @@
 
 def test_a_crowded_zone_is_left_before_each_of_its_backends_is_met() -> None:
     """Guards against a trickle that stays in a crowded zone of which it has met few backends."""
-    bench = FakeHost(nodes=400, copies=False, probes=False)
-    bench.send_list([entry(n)._replace(zone="xy"[n // 2 % 2]) for n in range(40)])
+    host = FakeHost(nodes=400, copies=False, probes=False)
+    host.send_list([entry(n)._replace(zone="xy"[n // 2 % 2]) for n in range(40)])
     places = []
     for step in range(220):
-        account = bench.submit(f"i{step}", "pay", time_left=3.0, tenant="")
-        place = bench.entries[account.pushes[0][0]].zone if account.pushes else "nacked"
+        account = host.submit(f"i{step}", "pay", time_left=3.0, tenant="")
+        place = host.entries[account.pushes[0][0]].zone if account.pushes else "nacked"
         places.append(place)
-        bench.advance(0.25 if place == "x" and step > 100 else 0.05)
+        host.advance(0.25 if place == "x" and step > 100 else 0.05)
         if account.pushes:
-            bench.end_push(f"i{step}", 0, Outcome.COMPLETED)
+            host.end_push(f"i{step}", 0, Outcome.COMPLETED)
     assert "y" not in places[:100] and places.count("y") > 10, places
 
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -24,21 +24,21 @@
 }
 
 
-def told(bench: FakeHost, held: float = 4.0) -> None:
+def told(host: FakeHost, held: float = 4.0) -> None:
     """Every probe that is out is answered."""
-    while bench.probes:
-        bench.answer_probe(bench.probes.pop(0), Outcome.COMPLETED, LoadReport(held))
+    while host.probes:
+        host.answer_probe(host.probes.pop(0), Outcome.COMPLETED, LoadReport(held))
 
 
 def settled(backends: list[int], **given: object) -> FakeHost:
     """A node that has served these backends for a while and had reports of them."""
-    bench = FakeHost(asks=1.0, **given)
-    bench.send_list([entry(n) for n in backends])
+    host = FakeHost(asks=1.0, **given)
+    host.send_list([entry(n) for n in backends])
     for step in range(30):
-        bench.submit(f"w{step}")
-        told(bench)
-        bench.complete_all(0.01)
-    return bench
+        host.submit(f"w{step}")
+        told(host)
+        host.complete_all(0.01)
+    return host
 
 
 def settings_with(part: str, name: str, value: object) -> dict:
@@ -51,67 +51,67 @@
     """Guards against nacks while the fleet has room: 50 nodes, 40 backends, most traffic is here."""
     finals = {}
     for asks in (0.0, 3.0):
-        bench = FakeHost(nodes=50, asks=asks)
-        bench.send_list([entry(n) for n in range(40)])
+        host = FakeHost(nodes=50, asks=asks)
+        host.send_list([entry(n) for n in range(40)])
         for step in range(600):
-            bench.submit(f"i{step}", tenant="")
-            told(bench, 0.5)
-            bench.advance(0.005)
-            for id, number in bench.open_pushes():
-                if bench.now - bench.accounts[id].pushes[number][1] >= 0.05:
-                    bench.end_push(id, number, Outcome.COMPLETED)
-        finals[asks] = sum(account.final == "nacked" for account in bench.accounts.values())
+            host.submit(f"i{step}", tenant="")
+            told(host, 0.5)
+            host.advance(0.005)
+            for id, number in host.open_pushes():
+                if host.now - host.accounts[id].pushes[number][1] >= 0.05:
+                    host.end_push(id, number, Outcome.COMPLETED)
+        finals[asks] = sum(account.final == "nacked" for account in host.accounts.values())
     assert finals[0.0] > 100 and finals[3.0] == 0, finals
 
 
 def test_probes_are_few_and_go_to_those_whose_turn_comes() -> None:
-    bench = FakeHost(asks=0.5)
-    bench.send_list([entry(n) for n in range(20)])
+    host = FakeHost(asks=0.5)
+    host.send_list([entry(n) for n in range(20)])
     asked = 0
     for step in range(200):
-        bench.submit(f"i{step}")
-        asked += len(bench.probes)
-        assert len(set(bench.probes)) == len(bench.probes), "one probe out to a backend at a time"
-        told(bench)
-        bench.complete_all(0.02)
+        host.submit(f"i{step}")
+        asked += len(host.probes)
+        assert len(set(host.probes)) == len(host.probes), "one probe out to a backend at a time"
+        told(host)
+        host.complete_all(0.02)
     assert 90 <= asked <= 101, "half a probe an invocation"
-    bench = FakeHost(asks=0.0)
-    bench.send_list([entry(n) for n in range(20)])
+    host = FakeHost(asks=0.0)
+    host.send_list([entry(n) for n in range(20)])
     for step in range(50):
-        bench.submit(f"i{step}")
-        bench.complete_all(0.02)
-    assert not bench.probes, "where probes bring no load none is sent for it"
+        host.submit(f"i{step}")
+        host.complete_all(0.02)
+    assert not host.probes, "where probes bring no load none is sent for it"
 
 
 def test_a_report_of_many_held_makes_the_pick_yield_until_it_is_old() -> None:
-    bench, met = settled([0, 2], copies=False), []
+    host, met = settled([0, 2], copies=False), []
     for step in range(40):
-        bench.answer_probe("b00", Outcome.COMPLETED, LoadReport(20.0))
-        bench.answer_probe("b02", Outcome.COMPLETED, LoadReport(1.0))
-        met.append(bench.submit(f"x{step}").pushes[0][0])
-        bench.probes.clear()
-        bench.complete_all(0.02)
+        host.answer_probe("b00", Outcome.COMPLETED, LoadReport(20.0))
+        host.answer_probe("b02", Outcome.COMPLETED, LoadReport(1.0))
+        met.append(host.submit(f"x{step}").pushes[0][0])
+        host.probes.clear()
+        host.complete_all(0.02)
     assert met.count("b02") == 40
-    bench.advance(4.0)
+    host.advance(4.0)
     later = []
     for step in range(20):
-        later.append(bench.submit(f"y{step}").pushes[0][0])
-        bench.complete_all(0.02)
-        bench.advance(0.3)
+        later.append(host.submit(f"y{step}").pushes[0][0])
+        host.complete_all(0.02)
+        host.advance(0.3)
     assert "b00" in later, "an old report keeps nobody away"
 
 
 def test_missing_and_odd_values_change_nothing() -> None:
-    benches = [FakeHost(5, asks=0.0), FakeHost(5, asks=0.0)]
-    for odd, bench in enumerate(benches):
-        bench.send_list([entry(n) for n in range(6)])
+    hosts = [FakeHost(5, asks=0.0), FakeHost(5, asks=0.0)]
+    for odd, host in enumerate(hosts):
+        host.send_list([entry(n) for n in range(6)])
         for step in range(60):
             if odd:
-                bench.answer_probe("b01", Outcome.COMPLETED, NO_REPORT)
-                bench.answer_probe("nobody", Outcome.COMPLETED, LoadReport(9.0))
-            bench.submit(f"i{step}")
-            bench.complete_all(0.02)
-    first, second = ([account.pushes for account in bench.accounts.values()] for bench in benches)
+                host.answer_probe("b01", Outcome.COMPLETED, NO_REPORT)
+                host.answer_probe("nobody", Outcome.COMPLETED, LoadReport(9.0))
+            host.submit(f"i{step}")
+            host.complete_all(0.02)
+    first, second = ([account.pushes for account in host.accounts.values()] for host in hosts)
     assert first == second
     for value in (-1, 1e99, float("nan"), float("inf"), "4", None, True, [], {}):
         assert (
@@ -125,45 +125,45 @@
 
 def test_a_backend_that_holds_and_completes_nothing_is_out_though_probes_reach_it() -> None:
     """Guards against a hang that a shallow probe does not see: each answer to one brought it back."""
-    bench = FakeHost(asks=1.0)
-    bench.send_list([entry(n) for n in range(6)])
-    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
-    assert bench.node.health.stats["b01"].ejection_cause == "hung"
-    bench.advance(3.0)
-    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(14.0, 0.0, 0.0))
-    assert bench.node.health.stats["b01"].ejection_cause == "hung"
-    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(2.0, 0.0, 20.0))
-    assert not bench.node.health.stats["b01"].ejection_cause
+    host = FakeHost(asks=1.0)
+    host.send_list([entry(n) for n in range(6)])
+    host.answer_probe("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
+    assert host.node.health.stats["b01"].ejection_cause == "hung"
+    host.advance(3.0)
+    host.answer_probe("b01", Outcome.COMPLETED, LoadReport(14.0, 0.0, 0.0))
+    assert host.node.health.stats["b01"].ejection_cause == "hung"
+    host.answer_probe("b01", Outcome.COMPLETED, LoadReport(2.0, 0.0, 20.0))
+    assert not host.node.health.stats["b01"].ejection_cause
 
 
 def test_a_backend_whose_report_counts_errors_is_out_until_it_counts_none() -> None:
-    bench = FakeHost(asks=1.0)
-    bench.send_list([entry(n) for n in range(6)])
-    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
-    bench.answer_probe("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
+    host = FakeHost(asks=1.0)
+    host.send_list([entry(n) for n in range(6)])
+    host.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
+    host.answer_probe("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
     assert (
-        bench.node.health.stats["b01"].ejection_cause == "erring"
-        and not bench.node.health.stats["b02"].ejection_cause
+        host.node.health.stats["b01"].ejection_cause == "erring"
+        and not host.node.health.stats["b02"].ejection_cause
     )
-    bench.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 0.0))
-    assert not bench.node.health.stats["b01"].ejection_cause
+    host.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 0.0))
+    assert not host.node.health.stats["b01"].ejection_cause
 
 
 def test_a_tagged_push_moves_off_a_silent_backend_within_its_window_only() -> None:
     """Guards against a tagged invocation left on a silent backend, and against one moved off a slow one."""
     for silent, group, moves in ((True, "mark", 1), (False, "mark", 0), (True, "book", 0)):
-        bench, cancelled = settled(list(range(8)), copies=False), []
-        bench.cancel = lambda id, number, cancelled=cancelled: cancelled.append((id, number))
-        account = bench.submit("a", group)
+        host, cancelled = settled(list(range(8)), copies=False), []
+        host.cancel = lambda id, number, cancelled=cancelled: cancelled.append((id, number))
+        account = host.submit("a", group)
         first = account.pushes[0][0]
         for _ in range(14):
-            bench.advance(0.025)
-            bench.probes[:] = [backend for backend in bench.probes if backend == first and silent]
+            host.advance(0.025)
+            host.probes[:] = [backend for backend in host.probes if backend == first and silent]
             if not silent:
-                bench.answer_probe(first, Outcome.COMPLETED, LoadReport(4.0))
+                host.answer_probe(first, Outcome.COMPLETED, LoadReport(4.0))
             for id, number in cancelled:
-                if number not in bench.accounts[id].ended:
-                    bench.end_push(id, number, Outcome.CANCELLED)
+                if number not in host.accounts[id].ended:
+                    host.end_push(id, number, Outcome.CANCELLED)
         assert len(account.pushes) == 1 + moves, (silent, group)
         if moves:
             (_, sent), (backend, again) = account.pushes
@@ -174,17 +174,17 @@
 def test_what_is_lost_is_answered_at_once_and_nacks_say_when_to_come_back(seed: int) -> None:
     """Guards against a lost invocation held until its time is almost up, so that its client stays quiet."""
     rng = random.Random(seed)
-    bench = FakeHost(seed, copies=False, asks=1.0)
-    bench.send_list([entry(n) for n in range(5)])
+    host = FakeHost(seed, copies=False, asks=1.0)
+    host.send_list([entry(n) for n in range(5)])
     come_back = []
-    nack = bench.nack
-    bench.nack = lambda id, after: (come_back.append(after), nack(id, after))
+    nack = host.nack
+    host.nack = lambda id, after: (come_back.append(after), nack(id, after))
     for step in range(200):
-        account = bench.submit(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
-        told(bench, rng.choice([1.0, 5.0]))
-        bench.advance(rng.choice([0.01, 0.05]))
+        account = host.submit(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
+        told(host, rng.choice([1.0, 5.0]))
+        host.advance(rng.choice([0.01, 0.05]))
         while not account.final and len(account.ended) < len(account.pushes):
-            bench.end_push(
+            host.end_push(
                 f"i{step}", len(account.ended), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST])
             )
         assert account.final, "given up and not answered at once"
@@ -194,8 +194,8 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_in_random_runs_with_reports(seed: int) -> None:
     rng = random.Random(seed)
-    bench = FakeHost(seed, copies=seed % 2 == 0, nodes=30, asks=3.0, worst_offering=0.3)
-    bench.send_list([entry(n) for n in range(8)], ListKind.RESTORED)
+    host = FakeHost(seed, copies=seed % 2 == 0, nodes=30, asks=3.0, worst_offering=0.3)
+    host.send_list([entry(n) for n in range(8)], ListKind.RESTORED)
     odd = (
         NO_REPORT,
         LoadReport(0.0),
@@ -204,29 +204,27 @@
         LoadReport(1e5, 1e5, 1e5),
     )
     for step in range(500):
-        bench.submit(f"i{step}", rng.choice(["look", "pay", "book", "note", "mark"]))
-        for _ in range(min(len(bench.probes), rng.randrange(3))):
-            bench.answer_probe(bench.probes.pop(), rng.choice(list(Outcome)), rng.choice(odd))
-        for id, number in bench.open_pushes():
+        host.submit(f"i{step}", rng.choice(["look", "pay", "book", "note", "mark"]))
+        for _ in range(min(len(host.probes), rng.randrange(3))):
+            host.answer_probe(host.probes.pop(), rng.choice(list(Outcome)), rng.choice(odd))
+        for id, number in host.open_pushes():
             if rng.random() < 0.3:
-                bench.end_push(id, number, rng.choice(list(Outcome)))
+                host.end_push(id, number, rng.choice(list(Outcome)))
         if rng.random() < 0.1:
             state = rng.choice([State.RUNNING, State.DRAINING])
-            bench.send_list(
-                [entry(rng.randrange(8), state, rng.choice([None, bench.now - 1]))], ListKind.DELTA
-            )
-        bench.advance(rng.choice([0.0, 0.01, 0.1]))
-    while bench.open_pushes():
-        bench.end_push(*bench.open_pushes()[0], Outcome.CANCELLED)
-    assert all(account.final for account in bench.accounts.values()) and not bench.node.active
+            host.send_list([entry(rng.randrange(8), state, rng.choice([None, host.now - 1]))], ListKind.DELTA)
+        host.advance(rng.choice([0.0, 0.01, 0.1]))
+    while host.open_pushes():
+        host.end_push(*host.open_pushes()[0], Outcome.CANCELLED)
+    assert all(account.final for account in host.accounts.values()) and not host.node.active
 
 
 def test_the_worst_served_offering_weighs_by_the_settings() -> None:
     def rank(worst: float) -> float:
-        bench = FakeHost(worst_offering=worst, asks=1.0)
+        host = FakeHost(worst_offering=worst, asks=1.0)
         for step in range(100):
-            bench.submit(f"i{step}", "pay" if step % 4 else "look")
-        return bench.node.admission.offering_rank(bench.node.offerings["look"], 0.05)
+            host.submit(f"i{step}", "pay" if step % 4 else "look")
+        return host.node.admission.offering_rank(host.node.offerings["look"], 0.05)
 
     assert rank(0.0) == 1.0 / 8.0
     assert rank(0.1) == pytest.approx((0.9 + 0.1 * 6.25 / 0.25) / 8.0) and rank(0.5) == 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,359 +16,357 @@
 def test_rules_hold_in_random_runs(seed: int) -> None:
     rng = random.Random(seed)
     nodes, most = [(2, 9), (1, 1), (400, 60)][seed % 3]
-    bench = FakeHost(seed, copies=rng.random() < 0.5, probes=rng.random() < 0.5, nodes=nodes)
-    bench.send_list([entry(n) for n in range(rng.randint(0, most))], ListKind.RESTORED)
+    host = FakeHost(seed, copies=rng.random() < 0.5, probes=rng.random() < 0.5, nodes=nodes)
+    host.send_list([entry(n) for n in range(rng.randint(0, most))], ListKind.RESTORED)
     for step in range(600):
         chance = rng.random()
         if chance < 0.45:
-            bench.submit(f"i{step}", rng.choice(OFFERINGS).name, rng.choice([None, 0.002, 0.1]))
-        elif chance < 0.8 and bench.open_pushes():
-            bench.end_push(*rng.choice(bench.open_pushes()), rng.choice(list(Outcome)))
-        elif chance < 0.83 and bench.accounts:
-            bench.disconnect_client(rng.choice(list(bench.accounts)))
+            host.submit(f"i{step}", rng.choice(OFFERINGS).name, rng.choice([None, 0.002, 0.1]))
+        elif chance < 0.8 and host.open_pushes():
+            host.end_push(*rng.choice(host.open_pushes()), rng.choice(list(Outcome)))
+        elif chance < 0.83 and host.accounts:
+            host.disconnect_client(rng.choice(list(host.accounts)))
         elif chance < 0.88:
             state = rng.choice(list(State))
             number = rng.randrange(most + 3)
-            if state is State.RUNNING or f"b{number:02}" in bench.entries:
-                bench.send_list([entry(number, state, rng.choice([None, bench.now - 3]))], ListKind.DELTA)
+            if state is State.RUNNING or f"b{number:02}" in host.entries:
+                host.send_list([entry(number, state, rng.choice([None, host.now - 3]))], ListKind.DELTA)
         elif chance < 0.89:
-            bench.send_list([entry(n) for n in range(rng.randint(0, most))])
+            host.send_list([entry(n) for n in range(rng.randint(0, most))])
         elif chance < 0.9:
-            bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [])
-        elif chance < 0.93 and bench.probes:
-            bench.answer_probe(bench.probes.pop(), rng.choice(list(Outcome)))
-        bench.advance(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]))
-        for id, account in bench.accounts.items():
+            host.node.on_list(host.now, ListKind.UNAVAILABLE, [])
+        elif chance < 0.93 and host.probes:
+            host.answer_probe(host.probes.pop(), rng.choice(list(Outcome)))
+        host.advance(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]))
+        for id, account in host.accounts.items():
             if not account.final:
-                assert id in bench.node.active and len(account.ended) < len(account.pushes), "left lying"
-    for id, number in bench.open_pushes():
-        bench.end_push(id, number, Outcome.TIMED_OUT)
-    while bench.open_pushes():
-        bench.end_push(*bench.open_pushes()[0], Outcome.CANCELLED)
-    assert all(account.final for account in bench.accounts.values())
-    assert not bench.node.active
+                assert id in host.node.active and len(account.ended) < len(account.pushes), "left lying"
+    for id, number in host.open_pushes():
+        host.end_push(id, number, Outcome.TIMED_OUT)
+    while host.open_pushes():
+        host.end_push(*host.open_pushes()[0], Outcome.CANCELLED)
+    assert all(account.final for account in host.accounts.values())
+    assert not host.node.active
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_burst_stays_within_the_cold_budget(seed: int) -> None:
-    bench = FakeHost(seed)
-    bench.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
-    bench.advance(6.0)
-    bench.send_list([entry(9)], ListKind.DELTA)
+    host = FakeHost(seed)
+    host.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
+    host.advance(6.0)
+    host.send_list([entry(9)], ListKind.DELTA)
     rng = random.Random(seed)
-    start, sent = bench.now, []
+    start, sent = host.now, []
     for step in range(1500):
-        account = bench.submit(f"i{step}", "look")
-        sent += [(bench.now, 0.03) for backend, _ in account.pushes[:1] if backend == "b09"]
+        account = host.submit(f"i{step}", "look")
+        sent += [(host.now, 0.03) for backend, _ in account.pushes[:1] if backend == "b09"]
         # A typical backend has at least one core; the node keeps to its half of what two nodes may send.
-        window = [cost for when, cost in sent if when > bench.now - COLD.overload_window]
-        capacity = max(COLD.initial_capacity, (bench.now - start) / COLD.warm_up)
+        window = [cost for when, cost in sent if when > host.now - COLD.overload_window]
+        capacity = max(COLD.initial_capacity, (host.now - start) / COLD.warm_up)
         assert len(window) <= 1 or sum(window) <= COLD.overload_multiple * capacity * COLD.overload_window / 2
-        bench.advance(rng.choice([0.0, 0.0, 0.004]))
+        host.advance(rng.choice([0.0, 0.0, 0.004]))
         if step % 5 == 0:
-            bench.complete_all(0.035)
+            host.complete_all(0.035)
 
 
 def test_once_only_is_terminated_when_it_may_have_run() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(4)])
-    account = bench.submit("a", "pay")
-    bench.end_push("a", 0, Outcome.ERROR)
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(4)])
+    account = host.submit("a", "pay")
+    host.end_push("a", 0, Outcome.ERROR)
     assert account.final == "terminated" and len(account.pushes) == 1
-    account = bench.submit("b", "pay")
-    bench.end_push("b", 0, Outcome.REJECTED)
+    account = host.submit("b", "pay")
+    host.end_push("b", 0, Outcome.REJECTED)
     assert len(account.pushes) == 2 and not account.final
 
 
 def test_nothing_to_push_to_is_answered_at_once() -> None:
-    bench = FakeHost()
-    bench.send_list([])
-    assert bench.submit("a", "pay").final == "nacked"
-    bench.send_list([entry(1)])
-    assert not bench.submit("b", "pay").final
+    host = FakeHost()
+    host.send_list([])
+    assert host.submit("a", "pay").final == "nacked"
+    host.send_list([entry(1)])
+    assert not host.submit("b", "pay").final
 
 
 def test_a_crowd_long_gone_does_not_keep_invocations_away() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(3)])
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(3)])
     for step in range(300):
-        bench.submit(f"a{step}")
-        bench.advance(0.01)
+        host.submit(f"a{step}")
+        host.advance(0.01)
         if step % 60 == 59:
-            for id, number in bench.open_pushes():
-                bench.end_push(id, number, Outcome.COMPLETED)
-    assert any(bench.submit(f"b{step}").final == "nacked" for step in range(20))
-    bench.complete_all()
-    bench.advance(10.0)
-    assert not bench.submit("c").final
+            for id, number in host.open_pushes():
+                host.end_push(id, number, Outcome.COMPLETED)
+    assert any(host.submit(f"b{step}").final == "nacked" for step in range(20))
+    host.complete_all()
+    host.advance(10.0)
+    assert not host.submit("c").final
 
 
 def test_a_connection_that_breaks_now_and_then_is_no_dead_process() -> None:
     """Guards against sound backends kept out and ramped for single connections that break."""
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
-    bench.advance(6.0)
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
+    host.advance(6.0)
     rng = random.Random(4)
     for step in range(400):
-        bench.submit(f"i{step}")
+        host.submit(f"i{step}")
         if rng.random() < 0.1:
-            bench.advance(0.01)
-            bench.end_push(f"i{step}", 0, Outcome.CONNECTION_LOST)
-        bench.complete_all(0.02)
-    assert not bench.log_lines and not any(b.ramp_start for b in bench.node.registry.usable)
+            host.advance(0.01)
+            host.end_push(f"i{step}", 0, Outcome.CONNECTION_LOST)
+        host.complete_all(0.02)
+    assert not host.log_lines and not any(b.ramp_start for b in host.node.registry.usable)
 
 
-def breaks(bench: FakeHost, share: float, steps: int, dead: str = "") -> list[Account]:
+def breaks(host: FakeHost, share: float, steps: int, dead: str = "") -> list[Account]:
     """Plays invocations of which `share` breaks off wherever it goes, and everything does on one backend."""
     chance = random.Random(11)
     accounts = []
     for step in range(steps):
-        account = bench.submit(f"b{len(bench.accounts)}", "look" if step % 2 else "pay", tenant="")
+        account = host.submit(f"b{len(host.accounts)}", "look" if step % 2 else "pay", tenant="")
         accounts.append(account)
-        bench.advance(0.01)
-        for id, number in bench.open_pushes():
-            if bench.accounts[id].pushes[number][0] == dead:
-                bench.end_push(id, number, Outcome.UNREACHABLE)
+        host.advance(0.01)
+        for id, number in host.open_pushes():
+            if host.accounts[id].pushes[number][0] == dead:
+                host.end_push(id, number, Outcome.UNREACHABLE)
             else:
                 broke = chance.random() < share
-                bench.end_push(id, number, Outcome.CONNECTION_LOST if broke else Outcome.COMPLETED)
+                host.end_push(id, number, Outcome.CONNECTION_LOST if broke else Outcome.COMPLETED)
     return accounts
 
 
 def test_connections_that_break_alike_everywhere_are_neither_a_crowd_nor_dead_processes() -> None:
     # Half of all invocations were nacked, and sound backends ejected as dead and ramped, again and again.
-    bench = FakeHost(nodes=1)
-    bench.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
-    breaks(bench, 0.15, 200)
-    bench.log_lines.clear()
-    accounts = breaks(bench, 0.15, 1500)
+    host = FakeHost(nodes=1)
+    host.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
+    breaks(host, 0.15, 200)
+    host.log_lines.clear()
+    accounts = breaks(host, 0.15, 1500)
     assert sum(account.final == "nacked" for account in accounts) < 0.02 * len(accounts)
-    assert len(bench.log_lines) <= 4, bench.log_lines  # ejected and readmitted, by rare chance
-    assert all(entry.weight == 100 for entry in bench.node.rotation.entries)  # and never ramped for it
+    assert len(host.log_lines) <= 4, host.log_lines  # ejected and readmitted, by rare chance
+    assert all(entry.weight == 100 for entry in host.node.rotation.entries)  # and never ramped for it
 
 
 def test_a_dead_process_is_found_among_connections_that_break_everywhere() -> None:
-    bench = FakeHost(nodes=1, probes=False)
-    bench.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
-    used = Counter(account.pushes[0][0] for account in breaks(bench, 0.15, 400))
+    host = FakeHost(nodes=1, probes=False)
+    host.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
+    used = Counter(account.pushes[0][0] for account in breaks(host, 0.15, 400))
     dead = used.most_common(1)[0][0]
-    met = sum(backend == dead for account in breaks(bench, 0.15, 300, dead) for backend, _ in account.pushes)
-    assert f"ejected {dead}: dead" in bench.log_lines
+    met = sum(backend == dead for account in breaks(host, 0.15, 300, dead) for backend, _ in account.pushes)
+    assert f"ejected {dead}: dead" in host.log_lines
     assert met <= HealthTracker.MAX_CONNECTION_FAILURES + 4, "its trials and the signs that it took"
 
 
 def test_a_few_errors_of_all_alike_hardly_count_in_the_expected_wait() -> None:
     """Guards against a tenth nacked while each backend spoils an answer now and then."""
-    bench, rng, prices = FakeHost(nodes=1), random.Random(5), []
-    bench.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
-    health = bench.node.health
+    host, rng, prices = FakeHost(nodes=1), random.Random(5), []
+    host.send_list([entry(n) for n in range(4)], ListKind.RESTORED)
+    health = host.node.health
     for step in range(2000):
-        bench.submit(f"i{step}")
-        bench.advance(0.02)
-        while bench.open_pushes():
-            bench.end_push(
-                *bench.open_pushes()[0], Outcome.ERROR if rng.random() < 0.05 else Outcome.COMPLETED
-            )
-        for backend in bench.node.registry.usable if step > 200 else ():
-            free = health.slowness(backend, 0.05, bench.now) * 0.05
-            prices.append(health.expected_wait(backend, 0.05, bench.now) - free)
+        host.submit(f"i{step}")
+        host.advance(0.02)
+        while host.open_pushes():
+            host.end_push(*host.open_pushes()[0], Outcome.ERROR if rng.random() < 0.05 else Outcome.COMPLETED)
+        for backend in host.node.registry.usable if step > 200 else ():
+            free = health.slowness(backend, 0.05, host.now) * 0.05
+            prices.append(health.expected_wait(backend, 0.05, host.now) - free)
     assert sum(prices) / len(prices) < 0.5 * 0.5 * 0.05, "half of what an error costs, for each"
 
 
 def test_a_backend_that_turns_some_away_at_random_is_not_held_back() -> None:
     """Guards against half of a fleet held back for pushes turned away one by one."""
-    bench, rng, held, met = FakeHost(), random.Random(6), 0, 0
-    bench.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
+    host, rng, held, met = FakeHost(), random.Random(6), 0, 0
+    host.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
     for step in range(1500):
-        account = bench.submit(f"i{step}")
-        bench.advance(0.02)
+        account = host.submit(f"i{step}")
+        host.advance(0.02)
         for number, (backend, _) in enumerate(account.pushes):
             met += 1
-            bench.end_push(f"i{step}", number, Outcome.REJECTED if rng.random() < 0.35 else Outcome.COMPLETED)
-            held += not bench.node.health.pickable(bench.node.registry.backends[backend], bench.now + 0.02)
+            host.end_push(f"i{step}", number, Outcome.REJECTED if rng.random() < 0.35 else Outcome.COMPLETED)
+            held += not host.node.health.pickable(host.node.registry.backends[backend], host.now + 0.02)
     assert met > 1500 and held < 0.05 * met
 
 
 def test_answers_lost_one_by_one_are_no_crowd_and_no_hung_backend() -> None:
     """Guards against most of a fleet's traffic nacked because some answers never come while others do."""
-    bench, rng, nacked, due = FakeHost(), random.Random(8), 0, []
-    bench.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
+    host, rng, nacked, due = FakeHost(), random.Random(8), 0, []
+    host.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
     for step in range(1200):
-        account = bench.submit(f"i{step}", "pay")
+        account = host.submit(f"i{step}", "pay")
         nacked += not account.pushes
         if account.pushes and rng.random() < 0.1:
-            due.append((bench.now + 0.95, f"i{step}"))
+            due.append((host.now + 0.95, f"i{step}"))
         elif account.pushes:
-            bench.advance(0.02)
-            bench.end_push(f"i{step}", 0, Outcome.COMPLETED)
-        bench.advance(0.03)
-        while due and due[0][0] <= bench.now:
-            bench.end_push(due.pop(0)[1], 0, Outcome.TIMED_OUT)
-    assert nacked < 60 and not bench.log_lines
+            host.advance(0.02)
+            host.end_push(f"i{step}", 0, Outcome.COMPLETED)
+        host.advance(0.03)
+        while due and due[0][0] <= host.now:
+            host.end_push(due.pop(0)[1], 0, Outcome.TIMED_OUT)
+    assert nacked < 60 and not host.log_lines
 
 
 def test_a_trial_that_is_turned_away_is_not_repeated_at_once() -> None:
-    bench = FakeHost(probes=False)
-    bench.send_list([entry(n) for n in range(4)])
-    bench.submit("a")
-    broken = bench.lose("a")
+    host = FakeHost(probes=False)
+    host.send_list([entry(n) for n in range(4)])
+    host.submit("a")
+    broken = host.lose("a")
     for step in range(100):
-        account = bench.submit(f"i{step}")
-        bench.advance(0.03)
+        account = host.submit(f"i{step}")
+        host.advance(0.03)
         for number, (backend, _) in enumerate(account.pushes):
             if number not in account.ended:
-                bench.end_push(
+                host.end_push(
                     f"i{step}", number, Outcome.REJECTED if backend == broken else Outcome.COMPLETED
                 )
-    pushes = [backend for account in bench.accounts.values() for backend, _ in account.pushes]
+    pushes = [backend for account in host.accounts.values() for backend, _ in account.pushes]
     assert 2 <= pushes.count(broken) <= 5
 
 
 def test_the_room_for_pushes_grows_back_after_a_jam() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(4)])
-    admission = bench.node.admission
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(4)])
+    admission = host.node.admission
     admission.concurrency_limit = 2.2
     for step in range(400):
         for copy in range(4):
-            bench.submit(f"i{step}.{copy}")
-        bench.complete_all(0.02)
+            host.submit(f"i{step}.{copy}")
+        host.complete_all(0.02)
     assert admission.concurrency_limit > 6.0
 
 
 def test_half_of_the_fleet_dead_gets_no_more_than_trials() -> None:
-    bench = FakeHost(probes=False)
-    bench.send_list([entry(n) for n in range(8)])
+    host = FakeHost(probes=False)
+    host.send_list([entry(n) for n in range(8)])
     for step in range(600):
-        account = bench.submit(f"i{step}")
-        bench.advance(0.01)
+        account = host.submit(f"i{step}")
+        host.advance(0.01)
         for number in range(9):
             if number < len(account.pushes) and number not in account.ended:
                 gone = int(account.pushes[number][0][1:]) < 5
-                bench.end_push(f"i{step}", number, Outcome.UNREACHABLE if gone else Outcome.COMPLETED)
-    late = [account for id, account in bench.accounts.items() if int(id[1:]) >= 100]
+                host.end_push(f"i{step}", number, Outcome.UNREACHABLE if gone else Outcome.COMPLETED)
+    late = [account for id, account in host.accounts.items() if int(id[1:]) >= 100]
     assert all(account.final == "completed" for account in late)
     assert sum(len(account.pushes) for account in late) < 1.1 * len(late)
 
 
 def test_a_flood_of_one_tenant_leaves_the_others_their_share() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(8)])
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(8)])
     asked = {"t": [], "u": []}
     for step in range(1000):
         tenant = "u" if step % 15 == 0 else "t"
-        asked[tenant].append(bench.submit(f"i{step}", tenant=tenant))
-        bench.advance(0.002)
-        for id, number in bench.open_pushes():
-            if bench.now - bench.accounts[id].pushes[number][1] > 0.006 * len(bench.open_pushes()):
-                bench.end_push(id, number, Outcome.COMPLETED)
+        asked[tenant].append(host.submit(f"i{step}", tenant=tenant))
+        host.advance(0.002)
+        for id, number in host.open_pushes():
+            if host.now - host.accounts[id].pushes[number][1] > 0.006 * len(host.open_pushes()):
+                host.end_push(id, number, Outcome.COMPLETED)
     share = {t: sum(a.final == "nacked" for a in got) / len(got) for t, got in asked.items()}
     assert share["t"] > 0.3
     assert share["u"] < 0.5 * share["t"], share
 
 
 def test_a_trial_that_is_due_turns_nothing_away() -> None:
-    bench = FakeHost(probes=False)
-    bench.send_list([entry(n) for n in range(4)])
-    bad = bench.submit("a").pushes[0][0]
-    bench.node.health.stats[bad].errors.add(9.0, bench.now)
-    bench.end_push("a", 0, Outcome.ERROR)
-    assert bench.log_lines == [f"ejected {bad}: erring"]
-    bench.complete_all()
-    bench.advance(2.0)
+    host = FakeHost(probes=False)
+    host.send_list([entry(n) for n in range(4)])
+    bad = host.submit("a").pushes[0][0]
+    host.node.health.stats[bad].errors.add(9.0, host.now)
+    host.end_push("a", 0, Outcome.ERROR)
+    assert host.log_lines == [f"ejected {bad}: erring"]
+    host.complete_all()
+    host.advance(2.0)
     for step in range(20):
-        assert not bench.submit(f"i{step}").final, "turned away for the trial's sake"
-        bench.complete_all()
+        assert not host.submit(f"i{step}").final, "turned away for the trial's sake"
+        host.complete_all()
 
 
 def test_the_room_for_pushes_has_a_top() -> None:
     """Guards against queues that make a backend slow although every answer is in time."""
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(4)])
-    admission, few = bench.node.admission, 4  # pushes out at two backends that are its part
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(4)])
+    admission, few = host.node.admission, 4  # pushes out at two backends that are its part
     for step in range(3000):
-        admission.on_push_ended(False, few, bench.now + 0.003 * step)
+        admission.on_push_ended(False, few, host.now + 0.003 * step)
     assert admission.concurrency_limit == 6.0 * 4 / 2
     for step in range(3000):
-        admission.on_push_ended(False, 100, bench.now + 10.0 + 0.003 * step)
+        admission.on_push_ended(False, 100, host.now + 10.0 + 0.003 * step)
     assert 6.0 * 4 / 2 < admission.concurrency_limit <= 2.0 * 100, (
         "no more than twice what has been borne in time"
     )
 
 
 def test_a_sentence_that_starts_during_a_trial_leaves_the_next_trial_open() -> None:
-    bench = FakeHost(probes=False, nodes=1)
-    bench.send_list([entry(1)])
+    host = FakeHost(probes=False, nodes=1)
+    host.send_list([entry(1)])
     for id in ("a", "b", "x"):
-        bench.submit(id, "pay")
+        host.submit(id, "pay")
     for id in ("a", "x"):
-        bench.end_push(id, 0, Outcome.CONNECTION_LOST)
-    bench.advance(2.0)
-    trial = bench.submit("c")
+        host.end_push(id, 0, Outcome.CONNECTION_LOST)
+    host.advance(2.0)
+    trial = host.submit("c")
     assert len(trial.pushes) == 1
-    bench.end_push("b", 0, Outcome.CONNECTION_LOST)  # an older push, so a new sentence
-    bench.end_push("c", 0, Outcome.TIMED_OUT)
-    bench.advance(10.0)
-    assert len(bench.submit("d").pushes) == 1, "the backend stayed out for good"
+    host.end_push("b", 0, Outcome.CONNECTION_LOST)  # an older push, so a new sentence
+    host.end_push("c", 0, Outcome.TIMED_OUT)
+    host.advance(10.0)
+    assert len(host.submit("d").pushes) == 1, "the backend stayed out for good"
 
 
 def test_the_window_counts_from_the_first_of_several_copies() -> None:
     """Guards against a window that starts anew when the first copy turns out never to have run."""
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(0, 12, 2)])
-    account = bench.submit("a", "book")
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(0, 12, 2)])
+    account = host.submit("a", "book")
     while len(account.pushes) < 2:
-        bench.advance(0.02)
-    bench.end_push("a", 0, Outcome.UNREACHABLE)
-    bench.advance(0.31 - (bench.now - account.pushes[0][1]))
-    bench.end_push("a", 1, Outcome.ERROR)
+        host.advance(0.02)
+    host.end_push("a", 0, Outcome.UNREACHABLE)
+    host.advance(0.31 - (host.now - account.pushes[0][1]))
+    host.end_push("a", 1, Outcome.ERROR)
     assert len(account.pushes) == 2 and account.final == "terminated"
 
 
 @pytest.mark.parametrize(("took", "least", "most"), [(0.06, 0, 8), (2.0, 80, 200)])
 def test_a_trickle_is_turned_away_only_in_an_overload(took: float, least: int, most: int) -> None:
     """Guards against rooms counted in whole pushes, of which 400 nodes have less than one each."""
-    bench, rng = FakeHost(nodes=400, copies=False), random.Random(5)
-    bench.send_list([entry(n) for n in range(60)])
+    host, rng = FakeHost(nodes=400, copies=False), random.Random(5)
+    host.send_list([entry(n) for n in range(60)])
     for step in range(5000):
         if rng.random() < 0.04:
-            bench.submit(f"i{step}", rng.choice(["look", "pay"]), time_left=5.0, tenant="")
-        bench.advance(0.01)
-        for id, number in bench.open_pushes():
-            if bench.now - bench.accounts[id].pushes[number][1] > took:
-                bench.end_push(id, number, Outcome.COMPLETED)
-    nacked = sum(account.final == "nacked" for account in bench.accounts.values())
-    assert least <= nacked <= most, (nacked, len(bench.accounts))
+            host.submit(f"i{step}", rng.choice(["look", "pay"]), time_left=5.0, tenant="")
+        host.advance(0.01)
+        for id, number in host.open_pushes():
+            if host.now - host.accounts[id].pushes[number][1] > took:
+                host.end_push(id, number, Outcome.COMPLETED)
+    nacked = sum(account.final == "nacked" for account in host.accounts.values())
+    assert least <= nacked <= most, (nacked, len(host.accounts))
 
 
 def test_a_tenant_within_its_share_of_a_trickle_is_not_over_it() -> None:
-    bench, rng, over = FakeHost(nodes=400), random.Random(5), 0
-    bench.send_list([entry(n) for n in range(60)])
+    host, rng, over = FakeHost(nodes=400), random.Random(5), 0
+    host.send_list([entry(n) for n in range(60)])
     for step in range(300):
-        bench.advance(rng.expovariate(0.2))  # its allowance is 0.25 a second
-        bench.submit(f"i{step}")
-        over += bench.node.active[f"i{step}"].over_share
-        bench.complete_all()
+        host.advance(rng.expovariate(0.2))  # its allowance is 0.25 a second
+        host.submit(f"i{step}")
+        over += host.node.active[f"i{step}"].over_share
+        host.complete_all()
     assert over < 45
 
 
 @pytest.mark.parametrize("burst", [False, True])
 def test_many_nodes_together_do_not_push_a_cold_backend_over(burst: bool) -> None:
     """Guards against each node's first push passing for free: 300 nodes, and one cold backend is left."""
-    rng, benches, reached = random.Random(7), [FakeHost(seed, nodes=300) for seed in range(300)], []
-    for bench in benches:
-        bench.send_list([entry(n) for n in range(6)], ListKind.RESTORED)
-        bench.advance(8.0)
-        bench.send_list([entry(9)] + [entry(n, State.GONE) for n in range(6)], ListKind.DELTA)
-    start = benches[0].now
+    rng, hosts, reached = random.Random(7), [FakeHost(seed, nodes=300) for seed in range(300)], []
+    for host in hosts:
+        host.send_list([entry(n) for n in range(6)], ListKind.RESTORED)
+        host.advance(8.0)
+        host.send_list([entry(9)] + [entry(n, State.GONE) for n in range(6)], ListKind.DELTA)
+    start = hosts[0].now
     for step in range(30):
-        for bench in benches:
+        for host in hosts:
             if burst and step % 10 == 0 and rng.random() < 0.5 or not burst and rng.random() < 0.047:
-                account = bench.submit(f"i{step}")
-                reached += [(bench.now, 0.03)] * len(account.pushes)
-                bench.advance(0.04)
-                bench.complete_all(0.01)
-            bench.advance(start + 0.1 * (step + 1) - bench.now)
+                account = host.submit(f"i{step}")
+                reached += [(host.now, 0.03)] * len(account.pushes)
+                host.advance(0.04)
+                host.complete_all(0.01)
+            host.advance(start + 0.1 * (step + 1) - host.now)
     assert len(reached) > 3
     for when, _ in reached:
         window = sum(cost for other, cost in reached if when <= other < when + COLD.overload_window)
@@ -376,57 +374,57 @@
 
 
 def test_a_node_that_hears_no_list_stops_when_it_is_deemed_told() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(3)], ListKind.RESTORED)
-    bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [])
-    bench.advance(9.0)
-    assert bench.submit("a").pushes
-    bench.complete_all()
-    bench.advance(9.0)  # asked again meanwhile, and no answer at all
-    bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [])
-    assert bench.submit("b").pushes, "after a failed call the rule waits four times as long"
-    bench.complete_all()
-    bench.advance(40.0)
-    assert bench.submit("c").final == "nacked"
-    bench.send_list([entry(1)])
-    assert bench.submit("d").pushes
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(3)], ListKind.RESTORED)
+    host.node.on_list(host.now, ListKind.UNAVAILABLE, [])
+    host.advance(9.0)
+    assert host.submit("a").pushes
+    host.complete_all()
+    host.advance(9.0)  # asked again meanwhile, and no answer at all
+    host.node.on_list(host.now, ListKind.UNAVAILABLE, [])
+    assert host.submit("b").pushes, "after a failed call the rule waits four times as long"
+    host.complete_all()
+    host.advance(40.0)
+    assert host.submit("c").final == "nacked"
+    host.send_list([entry(1)])
+    assert host.submit("d").pushes
 
 
 def test_a_push_past_its_target_time_no_longer_fills_the_room() -> None:
     """Guards against nacks in a fleet of which a part is stuck: old pushes there say nothing of the rest."""
-    bench = FakeHost(copies=False, probes=False)
-    bench.send_list([entry(n) for n in range(8)])
-    bench.submit("a", "pay")
-    bench.advance(0.2)
-    assert bench.node.in_flight == 1
-    bench.advance(0.2)
-    assert bench.node.in_flight == 0
-    bench.end_push("a", 0, Outcome.COMPLETED)
-    assert bench.node.in_flight == 0
+    host = FakeHost(copies=False, probes=False)
+    host.send_list([entry(n) for n in range(8)])
+    host.submit("a", "pay")
+    host.advance(0.2)
+    assert host.node.in_flight == 1
+    host.advance(0.2)
+    assert host.node.in_flight == 0
+    host.end_push("a", 0, Outcome.COMPLETED)
+    assert host.node.in_flight == 0
 
 
 def test_trials_of_many_nodes_do_not_come_at_once() -> None:
     """Guards against hundreds of nodes that try a dead backend in step and so jam it when it is back."""
     rng, tried = random.Random(9), []
     for seed in range(200):
-        bench = FakeHost(seed, nodes=200, probes=False)
-        bench.send_list([entry(0)])
+        host = FakeHost(seed, nodes=200, probes=False)
+        host.send_list([entry(0)])
         for id in "ab":
-            bad = bench.submit(id, "pay", tenant="").pushes[0][0]
+            bad = host.submit(id, "pay", tenant="").pushes[0][0]
         for id in "ab":
-            bench.end_push(id, 0, Outcome.CONNECTION_LOST)
-        bench.send_list([entry(n) for n in range(8)])
-        bench.complete_all()
-        bench.advance(101.0 - bench.now)
+            host.end_push(id, 0, Outcome.CONNECTION_LOST)
+        host.send_list([entry(n) for n in range(8)])
+        host.complete_all()
+        host.advance(101.0 - host.now)
         for step in range(20):
-            bench.advance(rng.expovariate(4.0))
-            account = bench.submit(f"i{step}", tenant="")
-            tried += [bench.now for backend, _ in account.pushes if backend == bad]
+            host.advance(rng.expovariate(4.0))
+            account = host.submit(f"i{step}", tenant="")
+            tried += [host.now for backend, _ in account.pushes if backend == bad]
             for number, (backend, _) in enumerate(account.pushes):
-                bench.end_push(
+                host.end_push(
                     f"i{step}", number, Outcome.UNREACHABLE if backend == bad else Outcome.COMPLETED
                 )
-            bench.complete_all()
+            host.complete_all()
     assert len(tried) > 200, "each node tries again"
     most = max(sum(when <= other < when + 0.1 for other in tried) for when in tried)
     assert most < 60, "under a third in a tenth of a second, though all lost it at the same moment"
@@ -435,15 +433,15 @@
 @pytest.mark.parametrize("asked", [True, False])
 def test_a_node_whose_watch_was_silent_pushes_nothing_from_when_it_is_deemed_told(asked: bool) -> None:
     # Pushes went to backends that had begun to drain while the watch was silent (calm+brink+mass).
-    bench = FakeHost()
-    bench.node.must_ask_in = 10.0 if asked else float("inf")
-    bench.send_list([entry(number) for number in range(4)])
-    bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [], bench.now + 2.0)
-    bench.advance(1.9)
-    assert bench.submit("a").pushes
-    bench.node.on_list(bench.now, ListKind.UNAVAILABLE, [], bench.now + 0.1)
-    bench.advance(0.11)  # a call that fails, or a new one, does not begin the silence anew
-    bench.node.on_timer(bench.now, "watch")
-    assert bench.submit("b").final == "nacked" and not bench.accounts["b"].pushes
-    bench.send_list([entry(number) for number in range(4)])
-    assert bench.submit("c").pushes
+    host = FakeHost()
+    host.node.must_ask_in = 10.0 if asked else float("inf")
+    host.send_list([entry(number) for number in range(4)])
+    host.node.on_list(host.now, ListKind.UNAVAILABLE, [], host.now + 2.0)
+    host.advance(1.9)
+    assert host.submit("a").pushes
+    host.node.on_list(host.now, ListKind.UNAVAILABLE, [], host.now + 0.1)
+    host.advance(0.11)  # a call that fails, or a new one, does not begin the silence anew
+    host.node.on_timer(host.now, "watch")
+    assert host.submit("b").final == "nacked" and not host.accounts["b"].pushes
+    host.send_list([entry(number) for number in range(4)])
+    assert host.submit("c").pushes
--- a/tests/test_told_apart.py
+++ b/tests/test_told_apart.py
@@ -10,25 +10,25 @@
 from thornladder.interface import NO_REPORT, LoadReport, Outcome
 
 
-def played(bench: FakeHost, slow: str, added: float, report: LoadReport = NO_REPORT) -> list[Account]:
+def played(host: FakeHost, slow: str, added: float, report: LoadReport = NO_REPORT) -> list[Account]:
     """Two offerings, 40 invocations a second, answered in 40 ms; after 4 s `slow` ones wait longer."""
-    bench.send_list([entry(n) for n in range(8)])
+    host.send_list([entry(n) for n in range(8)])
     chance, came = random.Random(3), []
     for step in range(1200):
         if chance.random() < 0.4:
             name = chance.choice(["look", "pay"])
-            came.append(bench.submit(f"i{step}", name, time_left=2.0, tenant=""))
-        bench.advance(0.01)
-        for id, number in bench.open_pushes():
-            account = bench.accounts[id]
+            came.append(host.submit(f"i{step}", name, time_left=2.0, tenant=""))
+        host.advance(0.01)
+        for id, number in host.open_pushes():
+            account = host.accounts[id]
             waits = slow in ("all", account.offering.name) and step > 400
             takes = 0.04 + (added if waits else 0.0)
-            if bench.now - account.pushes[number][1] >= takes:
+            if host.now - account.pushes[number][1] >= takes:
                 account.ended[number] = Outcome.COMPLETED
                 account.final = account.final or "completed"
                 sent = account.pushes[number][1]
-                bench.node.on_push_ended(
-                    bench.now, id, number, Outcome.COMPLETED, bench.now - sent, True, report
+                host.node.on_push_ended(
+                    host.now, id, number, Outcome.COMPLETED, host.now - sent, True, report
                 )
     return came
 
@@ -40,17 +40,17 @@
 
 def test_an_offering_that_waits_everywhere_costs_the_others_nothing() -> None:
     """Fails where late answers of one kind cut the room of all, and where its pushes fill that room."""
-    bench = FakeHost(copies=False, nodes=4)
-    assert refused(played(bench, "look", 0.8), "pay") < 0.05
+    host = FakeHost(copies=False, nodes=4)
+    assert refused(played(host, "look", 0.8), "pay") < 0.05
 
 
 def test_names_that_clients_make_up_leave_nothing_behind() -> None:
-    bench = FakeHost()
-    bench.send_list([entry(n) for n in range(4)])
+    host = FakeHost()
+    host.send_list([entry(n) for n in range(4)])
     for step in range(50):
-        bench.submit(f"i{step}", tenant=f"made up {step}")
-        bench.complete_all()
-    assert set(bench.node.health.excess_latency[1]) == {""}
+        host.submit(f"i{step}", tenant=f"made up {step}")
+        host.complete_all()
+    assert set(host.node.health.excess_latency[1]) == {""}
 
 
 @pytest.mark.parametrize(("busy", "least", "most"), [(None, 0.3, 1.0), (0.95, 0.3, 1.0), (0.4, 0.0, 0.05)])
@@ -58,21 +58,21 @@
     busy: float | None, least: float, most: float
 ) -> None:
     """All are late alike. Without a word of the cores, or with full ones, it is a crowd."""
-    bench = FakeHost(copies=False, nodes=8)
-    came = played(bench, "all", 0.13, LoadReport(cpu_utilization=busy))
+    host = FakeHost(copies=False, nodes=8)
+    came = played(host, "all", 0.13, LoadReport(cpu_utilization=busy))
     assert least <= refused(came, "pay") <= most
 
 
 def test_backends_that_answer_and_are_short_of_connections_are_not_dead() -> None:
     """Every second connection is refused everywhere while answers come."""
-    bench, chance = FakeHost(copies=False, nodes=1), random.Random(5)
-    bench.send_list([entry(n) for n in range(6)])
+    host, chance = FakeHost(copies=False, nodes=1), random.Random(5)
+    host.send_list([entry(n) for n in range(6)])
     for step in range(1200):
-        bench.submit(f"i{step}", tenant="")
-        bench.advance(0.01)
-        for id, number in bench.open_pushes():
+        host.submit(f"i{step}", tenant="")
+        host.advance(0.01)
+        for id, number in host.open_pushes():
             short = chance.random() < 0.5
-            bench.end_push(id, number, Outcome.UNREACHABLE if short else Outcome.COMPLETED)
-    assert sum(line.endswith(": dead") for line in bench.log_lines) <= 12, bench.log_lines  # 20 else
-    done = sum(account.final == "completed" for account in bench.accounts.values())
+            host.end_push(id, number, Outcome.UNREACHABLE if short else Outcome.COMPLETED)
+    assert sum(line.endswith(": dead") for line in host.log_lines) <= 12, host.log_lines  # 20 else
+    done = sum(account.final == "completed" for account in host.accounts.values())
     assert done >= 240, "111 where each is taken for a sign"
