--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -1,4 +1,4 @@
-"""A folder or a name used again by another deployment, and settings that change under requests in flight."""
+"""State files of another deployment in the same folder, and settings that change under requests in flight."""
 
 from __future__ import annotations
 
@@ -18,75 +18,84 @@
 from thornladder.node.maintenance import MaintenanceMark
 from thornladder.node.service import Handover
 
-OURS = Deployment.of(settings.policy_arguments(SETTINGS))
-GROWN = Deployment(OURS.zone, OURS.offering_names | {"extra"})
-CUT = Deployment(OURS.zone, frozenset({"pay"}))
-OTHERS = Deployment(OURS.zone, frozenset({"open-gate", "seat-map"}))
-ELSEWHERE = Deployment("elsewhere", OURS.offering_names)
+OWN = Deployment.of(settings.policy_arguments(SETTINGS))
+OFFERING_ADDED = Deployment(OWN.zone, OWN.offering_names | {"extra"})
+OFFERINGS_REMOVED = Deployment(OWN.zone, frozenset({"pay"}))
+OTHER_OFFERINGS = Deployment(OWN.zone, frozenset({"open-gate", "seat-map"}))
+OTHER_ZONE = Deployment("elsewhere", OWN.offering_names)
 
 
-@pytest.mark.parametrize("reader, fits", [(OURS, True), (GROWN, True), (CUT, True), (OTHERS, False),
-                                          (ELSEWHERE, False)])  # fmt: skip
-def test_what_was_learned_and_marked_is_used_by_the_deployment_that_wrote_it(
-    reader: Deployment, fits: bool, tmp_path: Path
+@pytest.mark.parametrize(
+    "reader, accepted",
+    [(OWN, True), (OFFERING_ADDED, True), (OFFERINGS_REMOVED, True), (OTHER_OFFERINGS, False),
+     (OTHER_ZONE, False)],
+)  # fmt: skip
+def test_state_files_are_used_only_by_the_deployment_that_wrote_them(
+    reader: Deployment, accepted: bool, tmp_path: Path
 ) -> None:
-    # Files were keyed by the node's name alone: start times, room and marks of another customer's backends.
-    LearnedStateStore(str(tmp_path), "n", OURS).save(LearnedState({"s0": 100.0}, 4.5), 104.0)
-    MaintenanceStore(str(tmp_path), "n", OURS).merge({"s1": MaintenanceMark(True, 90.0)})
-    told = LearnedStateStore(str(tmp_path), "n", reader).load(105.0)
+    # Keyed by the node's name alone, files would apply another customer's start times, limits and marks.
+    LearnedStateStore(str(tmp_path), "n", OWN).save(LearnedState({"s0": 100.0}, 4.5), 104.0)
+    MaintenanceStore(str(tmp_path), "n", OWN).merge({"s1": MaintenanceMark(True, 90.0)})
+    learned = LearnedStateStore(str(tmp_path), "n", reader).load(105.0)
     marks = MaintenanceStore(str(tmp_path), "n", reader).load()
-    assert (told == LearnedState({"s0": 100.0}, 4.5)) is fits and (told == LearnedState({})) is not fits
-    assert (marks == {"s1": MaintenanceMark(True, 90.0)}) is fits and (marks == {}) is not fits
+    assert (learned == LearnedState({"s0": 100.0}, 4.5)) is accepted and (
+        learned == LearnedState({})
+    ) is not accepted
+    assert (marks == {"s1": MaintenanceMark(True, 90.0)}) is accepted and (marks == {}) is not accepted
 
 
 @pytest.mark.parametrize("under", [3, [], {}, {"zone": "x"}, {"zone": "x", "classes": "look"},
                                    {"zone": "x", "classes": [1, None]}])  # fmt: skip
-def test_a_file_that_does_not_say_soundly_whose_it_is_counts_as_none(under: Any, tmp_path: Path) -> None:
-    sheet = StateFile(str(tmp_path), "n", "learned", OURS)
-    assert not OURS.accepts(under)
-    sheet.write({"starts": []})
-    assert sheet.read() is not None and not sheet.is_foreign
-    assert OURS.accepts(None)  # as the text before wrote it: an upgrade loses nothing
+def test_state_file_with_a_malformed_deployment_is_ignored(under: Any, tmp_path: Path) -> None:
+    file = StateFile(str(tmp_path), "n", "learned", OWN)
+    assert not OWN.accepts(under)
+    file.write({"starts": []})
+    assert file.read() is not None and not file.is_foreign
+    assert OWN.accepts(None)  # older versions wrote none: an upgrade keeps the state
 
 
-def test_a_folder_of_another_deployment_is_named_once_and_written_over(tmp_path: Path) -> None:
+def test_state_of_another_deployment_is_logged_once_and_overwritten(tmp_path: Path) -> None:
     file = config([list_line(0, 1)], 1)
-    given = settings.decode(file, {"TMPDIR": str(tmp_path)})
-    LearnedStateStore(str(tmp_path), "n", OTHERS).save(LearnedState({"s0": 100.0}, 4.5), 104.0)
-    MaintenanceStore(str(tmp_path), "n", OTHERS).merge({"s0": MaintenanceMark(True, 90.0)})
+    node_config = settings.decode(file, {"TMPDIR": str(tmp_path)})
+    LearnedStateStore(str(tmp_path), "n", OTHER_OFFERINGS).save(LearnedState({"s0": 100.0}, 4.5), 104.0)
+    MaintenanceStore(str(tmp_path), "n", OTHER_OFFERINGS).merge({"s0": MaintenanceMark(True, 90.0)})
     log = RecordingLog()
-    handover = Handover(given, log)
+    handover = Handover(node_config, log)
     maintenance = handover.join(105.0)
     assert handover.learned == LearnedState({}) and not maintenance.knows("s0")
-    said = "ignoring the state files of another deployment in this folder"
-    assert [line for line, _ in log.lines] == [said]
+    warning = "ignoring the state files of another deployment in this folder"
+    assert [line for line, _ in log.lines] == [warning]
     handover.maintenance_store.merge({"s0": MaintenanceMark(True, 106.0)})
     handover.learned_store.save(LearnedState({"s0": 107.0}), 108.0)
-    again = Handover(given, log)
-    assert again.join(109.0).knows("s0") and again.learned.ramp_starts == {"s0": 107.0}
+    restarted = Handover(node_config, log)
+    assert restarted.join(109.0).knows("s0") and restarted.learned.ramp_starts == {"s0": 107.0}
     assert len(log.lines) == 1
 
 
 @pytest.mark.anyio
-async def test_a_request_ends_under_the_settings_it_came_in_with(tmp_path: Path) -> None:
-    # SIGHUP brings other classes while one is out, is answered with an error and is sent again.
-    gate, tried, seen = anyio.Event(), anyio.Event(), []
+async def test_request_completes_under_the_settings_it_arrived_with(tmp_path: Path) -> None:
+    # SIGHUP changes the offerings while a request is in flight; its first push then fails and is retried.
+    released, attempted, received_ids = anyio.Event(), anyio.Event(), []
 
     def answer(got: ReceivedMessage) -> bytes | None:
-        seen.append(got.headers["x-call-id"])
-        return reply(503, X_Rejected="1") if seen.count("a") == 1 and seen[-1] == "a" else reply(200)
-
-    class Held(FakeServer):
+        received_ids.append(got.headers["x-call-id"])
+        return (
+            reply(503, X_Rejected="1")
+            if received_ids.count("a") == 1 and received_ids[-1] == "a"
+            else reply(200)
+        )
+
+    class BlockedServer(FakeServer):
         async def _talk(self, stream: anyio.abc.SocketStream) -> None:
-            tried.set()
-            await gate.wait()
+            attempted.set()
+            await released.wait()
             await super()._talk(stream)
 
-    backends = [Held(answer), Held(answer)]
+    backends = [BlockedServer(answer), BlockedServer(answer)]
     async with running_node(tmp_path, *backends) as (process, port):
         first = await connect(port)
         await first.send("a", "look", 900)
-        await tried.wait()  # it was taken, and a first attempt is on its way
+        await attempted.wait()  # accepted, and the first attempt is in flight
         path = tmp_path / "config.json"
         file = json.loads(path.read_text())
         other = copy.deepcopy(file)
@@ -95,11 +104,11 @@
         ]
         path.write_text(json.dumps(other))
         process.send_signal(signal.SIGHUP)
-        asked = 0
-        while (await (await connect(port)).ask(f"x{asked}", "look")).target != "404":
-            asked += 1
-            assert asked < 1000
-        gate.set()
-        assert (await first.answer()).target == "200" and seen.count("a") == 2
+        attempts = 0
+        while (await (await connect(port)).ask(f"x{attempts}", "look")).target != "404":
+            attempts += 1
+            assert attempts < 1000
+        released.set()
+        assert (await first.answer()).target == "200" and received_ids.count("a") == 2
         assert (await (await connect(port)).ask("b", "door", 700)).target == "200"
-        await wait_until(lambda: "b" in seen)
+        await wait_until(lambda: "b" in received_ids)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""From the start of a process to its first yes: nothing on the way waits for the time-out of another."""
+"""From the start of a process until it is ready: no step waits for the timeout of another service."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 pytestmark = pytest.mark.anyio
 
 
-async def first_yes(port: int) -> None:
-    with anyio.fail_after(30.0):  # the operators' own limit; what is tested is that nothing else came first
+async def wait_until_ready(port: int) -> None:
+    with anyio.fail_after(30.0):  # the deployment's limit; the tests check that nothing is waited for
         while True:
             try:
                 client = Client(await anyio.connect_tcp("127.0.0.1", port))
@@ -33,26 +33,26 @@
 
 
 @asynccontextmanager
-async def process(folder: Path, file: dict):
+async def running_process(folder: Path, file: dict):
     path = folder / "config.json"
     path.write_text(json.dumps(file))
-    node = await anyio.open_process(
+    child = await anyio.open_process(
         [sys.executable, "-B", "-m", "thornladder"], stderr=subprocess.DEVNULL,
         env={**os.environ, "TMPDIR": str(folder), "EDGE_CONFIG": str(path)},
     )  # fmt: skip
     try:
-        yield node
+        yield child
     finally:
         with anyio.CancelScope(shield=True):
-            if node.returncode is None:
-                node.kill()
-            await node.aclose()
+            if child.returncode is None:
+                child.kill()
+            await child.aclose()
 
 
 def free_port() -> int:
-    with socket.socket() as place:
-        place.bind(("127.0.0.1", 0))
-        return place.getsockname()[1]
+    with socket.socket() as probe_socket:
+        probe_socket.bind(("127.0.0.1", 0))
+        return probe_socket.getsockname()[1]
 
 
 def silent(_: ReceivedMessage) -> bytes | None:
@@ -63,51 +63,51 @@
     return reply(503)
 
 
-@pytest.mark.parametrize("tells", [silent, refusing, None], ids=["silent", "refusing", "down"])
-async def test_a_process_is_ready_and_serves_before_discovery_has_said_a_word(
-    tells: Callable[[ReceivedMessage], bytes | None] | None, tmp_path: Path
+@pytest.mark.parametrize("discovery_reply", [silent, refusing, None], ids=["silent", "refusing", "down"])
+async def test_process_is_ready_and_serves_before_discovery_answers(
+    discovery_reply: Callable[[ReceivedMessage], bytes | None] | None, tmp_path: Path
 ) -> None:
-    # A queue at discovery, or none to be had, is no part of the way to ready.
-    backend, discovery = FakeServer(lambda _: reply(200)), FakeServer(tells or silent)
+    # Readiness must not depend on discovery, which may be overloaded or down.
+    backend, discovery = FakeServer(lambda _: reply(200)), FakeServer(discovery_reply or silent)
     async with anyio.create_task_group() as tasks:
         await tasks.start(backend.serve)
         await tasks.start(discovery.serve)
-        file = config([list_line(0, backend.port)], discovery.port if tells else free_port())
+        file = config([list_line(0, backend.port)], discovery.port if discovery_reply else free_port())
         file["listen"] = f"127.0.0.1:{free_port()}"
-        async with process(tmp_path, file) as node:
+        async with running_process(tmp_path, file) as child:
             port = int(file["listen"].rpartition(":")[2])
-            await first_yes(port)
+            await wait_until_ready(port)
             client = Client(await anyio.connect_tcp("127.0.0.1", port))
             async with client.stream:
                 assert (await client.ask("a", "look")).target == "200"
-            # Not one call was answered, and the first was not given up either: no time-out was waited for.
-            assert discovery.closed == 0 or tells is refusing
-            assert node.returncode is None
+            # No request was answered, and the first one has not been given up: no timeout was waited for.
+            assert discovery.closed == 0 or discovery_reply is refusing
+            assert child.returncode is None
         tasks.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("spoil", ["torn", "locked", "another's"])
-async def test_what_lies_in_the_folder_holds_up_no_start(spoil: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("damage", ["truncated", "locked", "foreign"])
+async def test_damaged_state_files_do_not_delay_the_start(damage: str, tmp_path: Path) -> None:
     backend, discovery = FakeServer(lambda _: reply(200)), FakeServer(silent)
     async with anyio.create_task_group() as tasks:
         await tasks.start(backend.serve)
         await tasks.start(discovery.serve)
         file = config([list_line(0, backend.port)], discovery.port) | {"listen": f"127.0.0.1:{free_port()}"}
         port = int(file["listen"].rpartition(":")[2])
-        async with process(tmp_path, file):
-            await first_yes(port)
+        async with running_process(tmp_path, file):
+            await wait_until_ready(port)
         written = [path for path in tmp_path.iterdir() if path.name.startswith("thornladder-")]
         assert written
         for path in written:
-            if spoil == "torn":
+            if damage == "truncated":
                 path.write_bytes(path.read_bytes()[:7] + b"\xff\x00")
-            elif spoil == "locked":
+            elif damage == "locked":
                 path.unlink()
-                path.mkdir()  # neither read nor written
+                path.mkdir()  # can be neither read nor written
             else:
                 path.write_bytes(b'1 00000000\n{"node":"x"}')
-        async with process(tmp_path, file):
-            await first_yes(port)
+        async with running_process(tmp_path, file):
+            await wait_until_ready(port)
             assert (await ask(port)).target == "200"
         tasks.cancel_scope.cancel()
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: a second process of a node takes over at a socket that both were given, under load."""
+"""Upgrades without downtime: a second process of a node takes over at an inherited listening socket."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 pytestmark = pytest.mark.anyio
 
 
-class Platform:
-    """Holds the clients' socket, and starts and ends processes of one node."""
+class NodeProcesses:
+    """Holds the listening socket and the peers of one node, and starts and kills its processes."""
 
     def __init__(self, folder: Path, *answers) -> None:
         self.folder = folder
@@ -51,7 +51,7 @@
         self.stack = AsyncExitStack()
         self.ports: list[int] = []
 
-    async def __aenter__(self) -> Platform:
+    async def __aenter__(self) -> NodeProcesses:
         self.tasks = await self.stack.enter_async_context(anyio.create_task_group())
         self.socket = self.stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=256))
         self.port = self.socket.getsockname()[1]
@@ -64,7 +64,7 @@
         await self.stack.__aexit__(*error)
 
     async def run(self) -> tuple[anyio.abc.Process, int]:
-        """Starts one more process; itself and its second address."""
+        """Starts one more process of the node and returns it with its admin port."""
         with socket.create_server(("127.0.0.1", 0)) as free:
             admin = free.getsockname()[1]
         lines = [list_line(number, peer.port) for number, peer in enumerate(self.backends)]
@@ -83,16 +83,16 @@
             pass_fds=[self.socket.fileno()],
             stderr=subprocess.DEVNULL,
         )
-        self.stack.push_async_callback(self._end, process)
+        self.stack.push_async_callback(self._kill, process)
         return process, admin
 
-    async def _end(self, process: anyio.abc.Process) -> None:
+    async def _kill(self, process: anyio.abc.Process) -> None:
         with anyio.CancelScope(shield=True):
             if process.returncode is None:
                 process.kill()
             await process.aclose()
 
-    async def ready(self, admin: int) -> None:
+    async def wait_ready(self, admin: int) -> None:
         with anyio.fail_after(6.0):
             while True:
                 try:
@@ -110,48 +110,48 @@
     return reply(200, got.headers.get("x-call-id", "").encode())
 
 
-async def test_three_upgrades_in_a_row_under_load_lose_nothing(tmp_path: Path) -> None:
+async def test_three_consecutive_upgrades_under_load_lose_no_invocation(tmp_path: Path) -> None:
     answered: Counter[str] = Counter()
-    ended = anyio.Event()
+    stopped = anyio.Event()
 
-    async def play(platform: Platform, caller: int) -> None:
-        client, number = await platform.client(), 0
-        while not ended.is_set():
+    async def run_client(processes: NodeProcesses, client_number: int) -> None:
+        client, number = await processes.client(), 0
+        while not stopped.is_set():
             number += 1
-            id = f"{caller}-{number}"
-            answer = await client.ask(id, "look" if caller % 2 else "pay", 900, b"x")
+            id = f"{client_number}-{number}"
+            answer = await client.ask(id, "look" if client_number % 2 else "pay", 900, b"x")
             assert answer.target in ("200", "502", "503") and answer.body in (id.encode(), b"nacked\n")
             answered[answer.target] += 1
             if answer.headers.get("connection") == "close":
-                client = await platform.client()
+                client = await processes.client()
             await anyio.sleep(0.01 * random.Random(id).random())
 
-    async with Platform(tmp_path, done, done, done) as platform:
-        old, admin = await platform.run()
-        await platform.ready(admin)
+    async with NodeProcesses(tmp_path, done, done, done) as processes:
+        old, admin = await processes.run()
+        await processes.wait_ready(admin)
         async with anyio.create_task_group() as tasks:
-            for caller in range(12):
-                tasks.start_soon(play, platform, caller)
+            for client_number in range(12):
+                tasks.start_soon(run_client, processes, client_number)
             for _ in range(3):
-                new, admin = await platform.run()
-                await platform.ready(admin)
+                new, admin = await processes.run()
+                await processes.wait_ready(admin)
                 count = sum(answered.values())
                 old.send_signal(signal.SIGTERM)
                 with anyio.fail_after(2.2):
                     assert await old.wait() == 0
                 await wait_until(lambda: sum(answered.values()) > count + 50)  # noqa: B023
                 old = new
-            ended.set()
+            stopped.set()
         assert answered["200"] > 0.9 * sum(answered.values())
 
 
-async def test_maintenance_goes_on_over_an_upgrade_at_whichever_process_is_called(tmp_path: Path) -> None:
-    async with Platform(tmp_path, done, done, done) as platform:
-        old, first = await platform.run()
-        await platform.ready(first)
+async def test_maintenance_persists_over_an_upgrade_and_is_shared_by_both_processes(tmp_path: Path) -> None:
+    async with NodeProcesses(tmp_path, done, done, done) as processes:
+        old, first = await processes.run()
+        await processes.wait_ready(first)
         assert (await call(first, "POST", "/maintenance/enter", b'{"host": "s0"}'))[0] == 200
-        new, second = await platform.run()
-        await platform.ready(second)
+        new, second = await processes.run()
+        await processes.wait_ready(second)
         assert (await call(second, "GET", "/status"))[1]["maintenance"] == ["s0"]
         assert (await call(second, "POST", "/maintenance/enter", b'{"host": "s1"}'))[0] == 200
         assert (await call(first, "POST", "/maintenance/exit", b'{"host": "s0"}'))[0] == 200
@@ -160,59 +160,60 @@
                 while (await call(admin, "GET", "/status"))[1]["maintenance"] != ["s1"]:
                     await anyio.sleep(0.02)
         old.kill()
-        count = len(platform.backends[1].got)
+        count = len(processes.backends[1].got)
         for number in range(8):
-            answer = await (await platform.client()).ask(f"a{number}", "look")
+            answer = await (await processes.client()).ask(f"a{number}", "look")
             assert answer.target == "200"
-        assert len(platform.backends[1].got) == count
+        assert len(processes.backends[1].got) == count
 
 
-async def test_a_node_is_ready_while_one_of_its_processes_leaves_and_another_serves(tmp_path: Path) -> None:
-    # The front heard from the process that left that the node was not ready, and turned from it.
-    async with Platform(tmp_path, done) as platform:
-        old, first = await platform.run()
-        await platform.ready(first)
-        kept = [await platform.client() for _ in range(2)]
-        for client in kept:
+async def test_node_stays_ready_while_one_process_leaves_and_another_serves(tmp_path: Path) -> None:
+    # Guards against a front that turns from the node because the leaving process reports it as not ready.
+    async with NodeProcesses(tmp_path, done) as processes:
+        old, first = await processes.run()
+        await processes.wait_ready(first)
+        old_clients = [await processes.client() for _ in range(2)]
+        for client in old_clients:
             assert (await client.raw(READY_REQUEST)).target == "200"
-        new, second = await platform.run()
-        await platform.ready(second)
+        new, second = await processes.run()
+        await processes.wait_ready(second)
         old.send_signal(signal.SIGTERM)
         await anyio.sleep(0.1)
-        told = await kept[0].raw(READY_REQUEST)
-        assert (told.target, told.headers["connection"]) == ("200", "close")
-        last = await platform.client()
+        response = await old_clients[0].raw(READY_REQUEST)
+        assert (response.target, response.headers["connection"]) == ("200", "close")
+        last = await processes.client()
         assert (await last.raw(READY_REQUEST)).target == "200"
         with anyio.fail_after(2.2):
             assert await old.wait() == 0
-        new.send_signal(signal.SIGTERM)  # nobody follows
+        new.send_signal(signal.SIGTERM)  # no other process takes over
         await anyio.sleep(0.1)
         assert (await last.raw(READY_REQUEST)).target == "503"
 
 
-async def test_a_process_that_only_starts_takes_no_descriptors_from_the_one_that_serves(
+async def test_starting_process_takes_no_descriptors_from_the_serving_one(
     tmp_path: Path,
 ) -> None:
-    # The one that serves was cut to a half of the descriptors, closed connections and left others unread.
-    async with Platform(tmp_path, done) as platform:
-        _, first = await platform.run()
-        await platform.ready(first)
-        clients = [await platform.client() for _ in range(270)]  # 564 are for clients
-        platform.discovery.answer = lambda _: None
-        new, _ = await platform.run()
-        await anyio.sleep(0.8)  # by then it has said that it is there
+    # Guards against dividing all descriptors evenly: the serving process would close connections and leave
+    # others unread.
+    async with NodeProcesses(tmp_path, done) as processes:
+        _, first = await processes.run()
+        await processes.wait_ready(first)
+        clients = [await processes.client() for _ in range(270)]  # of 564 for clients
+        processes.discovery.answer = lambda _: None
+        new, _ = await processes.run()
+        await anyio.sleep(0.8)  # by then it has announced itself
         for number, client in enumerate(clients):
             answer = await client.ask(f"b{number}", "look")
             assert answer.target in ("200", "503") and "connection" not in answer.headers
         new.kill()
 
 
-async def test_a_new_process_that_dies_before_its_yes_changes_nothing(tmp_path: Path) -> None:
-    async with Platform(tmp_path, done) as platform:
-        old, first = await platform.run()
-        await platform.ready(first)
-        platform.discovery.answer = lambda _: None  # it has to wait
-        new, second = await platform.run()
+async def test_new_process_that_dies_before_it_is_ready_changes_nothing(tmp_path: Path) -> None:
+    async with NodeProcesses(tmp_path, done) as processes:
+        old, first = await processes.run()
+        await processes.wait_ready(first)
+        processes.discovery.answer = lambda _: None  # the new process waits for the list
+        new, second = await processes.run()
         with anyio.fail_after(3.0):
             while True:
                 try:
@@ -220,23 +221,23 @@
                     break
                 except OSError:
                     await anyio.sleep(0.02)
-        for number in range(20):  # all of them come to the one that serves
-            assert (await (await platform.client()).ask(f"a{number}", "look")).target == "200"
+        for number in range(20):  # all reach the serving process
+            assert (await (await processes.client()).ask(f"a{number}", "look")).target == "200"
         assert (await call(second, "GET", "/status"))[1]["connections"] == 0
         new.kill()
-        assert (await (await platform.client()).ask("b", "look")).target == "200"
+        assert (await (await processes.client()).ask("b", "look")).target == "200"
 
 
-async def test_a_new_process_killed_after_its_yes_leaves_the_old_one_with_all(tmp_path: Path) -> None:
-    async with Platform(tmp_path, done) as platform:
-        old, first = await platform.run()
-        await platform.ready(first)
-        new, second = await platform.run()
-        await platform.ready(second)
+async def test_old_process_serves_on_after_the_new_one_is_killed_when_ready(tmp_path: Path) -> None:
+    async with NodeProcesses(tmp_path, done) as processes:
+        old, first = await processes.run()
+        await processes.wait_ready(first)
+        new, second = await processes.run()
+        await processes.wait_ready(second)
         new.kill()
         await new.wait()
         for number in range(20):
-            client = await platform.client()
+            client = await processes.client()
             assert (await client.raw(READY_REQUEST)).target == "200"
             assert (await client.ask(f"a{number}", "pay", body=b"x")).target == "200"
         assert (await call(first, "GET", "/status"))[0] == 200
@@ -245,69 +246,74 @@
             assert await old.wait() == 0
 
 
-# The files by themselves.
+# Unit tests of the state files.
 
 
-def test_a_place_is_free_as_soon_as_its_holder_is_dead(tmp_path: Path) -> None:
-    one, two = ProcessRegistry(str(tmp_path), "n"), ProcessRegistry(str(tmp_path), "n")
-    one.announce(Phase.SERVING, 7)
-    assert two.others() == [ProcessStatus(Phase.SERVING, 7)] and one.others() == []
-    two.announce(Phase.STARTING, 0)
-    assert one.others() == [ProcessStatus(Phase.STARTING, 0)] and two.others() == [
+def test_registry_slot_is_free_as_soon_as_its_process_is_dead(tmp_path: Path) -> None:
+    first_registry, second_registry = ProcessRegistry(str(tmp_path), "n"), ProcessRegistry(str(tmp_path), "n")
+    first_registry.announce(Phase.SERVING, 7)
+    assert second_registry.others() == [ProcessStatus(Phase.SERVING, 7)] and first_registry.others() == []
+    second_registry.announce(Phase.STARTING, 0)
+    assert first_registry.others() == [ProcessStatus(Phase.STARTING, 0)] and second_registry.others() == [
         ProcessStatus(Phase.SERVING, 7)
     ]
-    one.announce(Phase.LEAVING, 123)
+    first_registry.announce(Phase.LEAVING, 123)
     assert (
-        two.others() == [ProcessStatus(Phase.LEAVING, 123)]
+        second_registry.others() == [ProcessStatus(Phase.LEAVING, 123)]
         and ProcessRegistry(str(tmp_path), "m").others() == []
     )
-    os.close(one.own_slot[1])  # as the kernel does at any death
-    assert two.others() == []
+    os.close(first_registry.own_slot[1])  # the kernel does so at any death
+    assert second_registry.others() == []
     for path in tmp_path.iterdir():
         path.write_bytes(b"\xff" * 40)
     assert ProcessRegistry(str(tmp_path), "n").others() == [ProcessStatus(Phase.STARTING, 0)]
     assert ProcessRegistry(str(tmp_path / "none"), "n").others() == []
 
 
-def test_what_is_cold_stays_cold_for_the_process_that_takes_over(tmp_path: Path) -> None:
-    lessons = LearnedStateStore(str(tmp_path), "n")
-    lessons.save(LearnedState({"s0": 100.0, "s1": 200.0, "s2": 90.0, "s3": -1e9}, 4.5), 104.0)
-    told = LearnedStateStore(str(tmp_path), "n").load(105.0)
+def test_slow_start_continues_in_the_process_that_takes_over(tmp_path: Path) -> None:
+    store = LearnedStateStore(str(tmp_path), "n")
+    store.save(LearnedState({"s0": 100.0, "s1": 200.0, "s2": 90.0, "s3": -1e9}, 4.5), 104.0)
+    learned = LearnedStateStore(str(tmp_path), "n").load(105.0)
+    # At 204 seconds the limit is out of date.
     assert (
-        told.limit_per_backend == 4.5
+        learned.limit_per_backend == 4.5
         and LearnedStateStore(str(tmp_path), "n").load(204.0).limit_per_backend == 0.0
-    )  # of another time
-    it = Maintenance({"s2": MaintenanceMark(True, 95.0)})
-    it.restore_ramp_starts(told.ramp_starts, 105.0)
+    )
+    maintenance = Maintenance({"s2": MaintenanceMark(True, 95.0)})
+    maintenance.restore_ramp_starts(learned.ramp_starts, 105.0)
     known = {"generation": 1, "reset": True, "instances": [list_line(number, 1) for number in range(4)]}
-    laid = it.apply(decode_list(known), 105.0)
-    assert laid.kind is ListKind.SNAPSHOT
-    assert [each.started_at for each in laid.entries] == [100.0, None, None, None]  # s1 is yet to come
-    assert laid.entries[2].state is State.DRAINING
-
-
-def test_a_process_that_takes_over_has_the_room_that_was_learned() -> None:
-    # Its first room held it to a push for each backend: most was nacked for ten seconds after an upgrade.
-    rooms = {}
-    for room in (0.0, 4.5, 99.0):
-        bench = FakeHost()
-        bench.node = decide.Node(
-            bench,
+    applied = maintenance.apply(decode_list(known), 105.0)
+    assert applied.kind is ListKind.SNAPSHOT
+    # A start time in the future, as of s1, is not used.
+    assert [entry.started_at for entry in applied.entries] == [100.0, None, None, None]
+    assert applied.entries[2].state is State.DRAINING
+
+
+def test_process_that_takes_over_starts_with_the_learned_limit() -> None:
+    # Without the learned limit a new process starts at one push per backend, and nacks most invocations for
+    # ten seconds after an upgrade.
+    limits = {}
+    for learned_limit in (0.0, 4.5, 99.0):
+        host = FakeHost()
+        host.node = decide.Node(
+            host,
             seed=1,
-            now=bench.now,
-            limit_per_backend=room,
+            now=host.now,
+            limit_per_backend=learned_limit,
             **{**settings.policy_arguments(SETTINGS), "nodes": 2},
         )
-        bench.send_list([entry(number) for number in range(8)])
-        rooms[room] = bench.node.admission.concurrency_limit
-    assert rooms == {0.0: 4 * decide.AdmissionControl.INITIAL_LIMIT_PER_BACKEND, 4.5: 18.0, 99.0: 24.0}
+        host.send_list([entry(number) for number in range(8)])
+        limits[learned_limit] = host.node.admission.concurrency_limit
+    assert limits == {0.0: 4 * decide.AdmissionControl.INITIAL_LIMIT_PER_BACKEND, 4.5: 18.0, 99.0: 24.0}
 
 
-async def test_a_folder_that_cannot_be_written_is_no_end_but_a_no(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with LoopbackCluster(done) as bank:
-        for path in Path(bank.folder.name).iterdir():
+async def test_maintenance_is_refused_but_requests_are_served_without_a_writable_folder(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async with LoopbackCluster(done) as cluster:
+        for path in Path(cluster.folder.name).iterdir():
             path.unlink()
-        Path(bank.folder.name).rmdir()
-        assert (await call(bank.admin, "POST", "/maintenance/enter", b'{"host": "s0"}'))[0] == 503
-        assert (await bank.ask("a", "look")).target == "200"
-        Path(bank.folder.name).mkdir()
+        Path(cluster.folder.name).rmdir()
+        assert (await call(cluster.admin, "POST", "/maintenance/enter", b'{"host": "s0"}'))[0] == 503
+        assert (await cluster.ask("a", "look")).target == "200"
+        Path(cluster.folder.name).mkdir()
