--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A host that keeps its own plain account of the rules; and peers on loopback for the node on sockets."""
+"""Test doubles: a host that checks the rules at every call, and servers and clients on loopback sockets."""
 
 from __future__ import annotations
 
@@ -48,36 +48,37 @@
 
 
 @dataclass
-class Account:
-    """What one invocation has had so far, kept apart from the node's own records."""
+class InvocationRecord:
+    """The history of one invocation, kept independently of the node."""
 
     offering: Offering
     cut_off: float
     pushes: list[tuple[str, float]] = field(default_factory=list)
-    ended: dict[int, Outcome] = field(default_factory=dict)
-    final: str = ""
+    outcomes: dict[int, Outcome] = field(default_factory=dict)
+    final: str = ""  # "completed", "nacked", "terminated", or "left" by its client; empty while open
 
 
 class FakeHost:
-    """Plays the host; every call is checked against the rules as it is made."""
+    """A `Host` with a virtual clock that checks every call of the node against the rules as it is made."""
 
     def __init__(
-        self, seed: int = 1, copies: bool = True, probes: bool = True, nodes: int = 2, asks: float = 0.0,
-        worst_offering: float = 0.0, further: RetryBudgetRule | None = None, soft_removal: bool = False,
+        self, seed: int = 1, hedging: bool = True, probes: bool = True, nodes: int = 2,
+        probes_per_invocation: float = 0.0, worst_offering: float = 0.0,
+        retry_budget: RetryBudgetRule | None = None, soft_removal: bool = False,
     ) -> None:  # fmt: skip
         self.now, self.soft_removal = 100.0, soft_removal
-        self.accounts: dict[str, Account] = {}
+        self.records: dict[str, InvocationRecord] = {}
         self.entries: dict[str, Entry] = {}
         self.listed: set[str] = set()
         self.timers: list[tuple[float, str]] = []
         self.probes: list[str] = []
-        self.watches = 0
+        self.watch_calls = 0
         self.log_lines: list[str] = []
-        self.copies = copies
+        self.hedging = hedging
         limits = Limits(
-            max_pushes=4, hedging=copies, cancellation=True, probes=probes, max_retry_after=0.5,
-            probes_per_invocation=asks,
-            retry_budget=further, soft_removal=soft_removal,
+            max_pushes=4, hedging=hedging, cancellation=True, probes=probes, max_retry_after=0.5,
+            probes_per_invocation=probes_per_invocation,
+            retry_budget=retry_budget, soft_removal=soft_removal,
         )  # fmt: skip
         self.node = decide.Node(
             self, seed=seed, now=self.now, zone="x", rank=1, nodes=nodes, offerings=OFFERINGS,
@@ -86,43 +87,43 @@
             cold=COLD, must_ask_in=10.0, worst_offering=worst_offering,
         )  # fmt: skip
 
-    # The host's calls.
+    # The calls of the node, as in `Host`.
 
     def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
-        account = self.accounts[invocation]
-        assert not account.final, "pushed after its final answer"
-        assert backend in self.listed, "pushed to a backend that drains or is gone"
-        assert self.now < account.cut_off and 0 < timeout <= account.cut_off - self.now + 1e-9
-        assert len(account.pushes) < 4
-        assert self.copies or len(account.ended) == len(account.pushes), "two pushes out at once"
-        maybe = self.may_have_run(account)
-        if maybe and account.offering.idempotency is not Idempotency.REPEATABLE:
-            assert account.offering.idempotency is Idempotency.TAGGED, "once-only pushed again"
-            first, sent = maybe[0]
-            here, there = self.entries[backend], self.entries[first]
-            if account.offering.dedup_scope == "zone":
-                assert here.zone == there.zone
-            elif account.offering.dedup_scope == "cell":
-                assert here.cell == there.cell
-            assert self.now < sent + account.offering.dedup_window, "pushed after its window"
-        account.pushes.append((backend, self.now))
+        record = self.records[invocation]
+        assert not record.final, "pushed after its final answer"
+        assert backend in self.listed, "pushed to a backend that is draining or gone"
+        assert self.now < record.cut_off and 0 < timeout <= record.cut_off - self.now + 1e-9
+        assert len(record.pushes) < 4
+        assert self.hedging or len(record.outcomes) == len(record.pushes), "two pushes in flight at once"
+        may_have_run = self.may_have_run(record)
+        if may_have_run and record.offering.idempotency is not Idempotency.REPEATABLE:
+            assert record.offering.idempotency is Idempotency.TAGGED, "once-only pushed again"
+            first_backend, first_sent_at = may_have_run[0]
+            entry, first_entry = self.entries[backend], self.entries[first_backend]
+            if record.offering.dedup_scope == "zone":
+                assert entry.zone == first_entry.zone
+            elif record.offering.dedup_scope == "cell":
+                assert entry.cell == first_entry.cell
+            assert self.now < first_sent_at + record.offering.dedup_window, "pushed after its window"
+        record.pushes.append((backend, self.now))
 
     def cancel(self, invocation: str, number: int) -> None:
-        assert number < len(self.accounts[invocation].pushes)
+        assert number < len(self.records[invocation].pushes)
 
     def nack(self, invocation: str, retry_after: float) -> None:
-        account = self.accounts[invocation]
-        offering = account.offering
-        assert not account.final, "two final answers"
+        record = self.records[invocation]
+        offering = record.offering
+        assert not record.final, "two final answers"
         assert retry_after <= 0.5
-        tagged_anywhere = offering.idempotency is Idempotency.TAGGED and offering.dedup_scope == "all"
-        harmless = offering.idempotency is Idempotency.REPEATABLE or tagged_anywhere
-        assert harmless or not self.may_have_run(account), "nacked though it may have run"
-        account.final = "nacked"
+        dedup_anywhere = offering.idempotency is Idempotency.TAGGED and offering.dedup_scope == "all"
+        harmless = offering.idempotency is Idempotency.REPEATABLE or dedup_anywhere
+        assert harmless or not self.may_have_run(record), "nacked though it may have run"
+        record.final = "nacked"
 
     def terminate(self, invocation: str) -> None:
-        assert not self.accounts[invocation].final, "two final answers"
-        self.accounts[invocation].final = "terminated"
+        assert not self.records[invocation].final, "two final answers"
+        self.records[invocation].final = "terminated"
 
     def probe(self, backend: str) -> None:
         self.probes.append(backend)
@@ -132,95 +133,100 @@
         self.timers.append((self.now + delay, name))
 
     def watch_list(self) -> None:
-        self.watches += 1
+        self.watch_calls += 1
 
     def log(self, message: str) -> None:
         self.log_lines.append(message)
 
-    # What happens to the node.
+    # Events for the node.
 
     @staticmethod
-    def may_have_run(account: Account) -> list[tuple[str, float]]:
-        return [push for number, push in enumerate(account.pushes)
-                if number not in account.ended or not account.ended[number].never_ran]  # fmt: skip
+    def may_have_run(record: InvocationRecord) -> list[tuple[str, float]]:
+        return [push for number, push in enumerate(record.pushes)
+                if number not in record.outcomes or not record.outcomes[number].never_ran]  # fmt: skip
 
     def send_list(self, entries: list[Entry], kind: ListKind = ListKind.SNAPSHOT) -> None:
         if kind in (ListKind.SNAPSHOT, ListKind.RESTORED) and not self.soft_removal:
             self.listed.clear()
-        for line in entries:
-            self.entries[line.backend] = line
-            if line.state is State.RUNNING:
-                self.listed.add(line.backend)
-            elif line.state is State.DRAINING or not self.soft_removal:
-                self.listed.discard(line.backend)
+        for entry in entries:
+            self.entries[entry.backend] = entry
+            if entry.state is State.RUNNING:
+                self.listed.add(entry.backend)
+            elif entry.state is State.DRAINING or not self.soft_removal:
+                self.listed.discard(entry.backend)
         self.node.on_list(self.now, kind, entries)
         if kind is ListKind.RESTORED:
-            self.node.on_list(self.now, ListKind.DELTA, [])  # the watch stands
+            self.node.on_list(self.now, ListKind.DELTA, [])  # the first answer of the watch
 
     def submit(
         self, id: str, name: str = "look", time_left: float | None = None, tenant: str = "t"
-    ) -> Account:
+    ) -> InvocationRecord:
         offering = next(offering for offering in OFFERINGS if offering.name == name)
         time_left = offering.cut_off if time_left is None else time_left
-        account = self.accounts[id] = Account(offering, self.now + time_left)
+        record = self.records[id] = InvocationRecord(offering, self.now + time_left)
         self.node.on_invocation(self.now, Invocation(id, name, tenant, time_left, None, False))
-        return account
+        return record
 
     def end_push(self, id: str, number: int, outcome: Outcome) -> None:
-        account = self.accounts[id]
-        account.ended[number] = outcome
-        if outcome is Outcome.COMPLETED and not account.final:
-            account.final = "completed"
-        sent = account.pushes[number][1]
-        self.node.on_push_ended(self.now, id, number, outcome, self.now - sent, bool(account.final))
+        record = self.records[id]
+        record.outcomes[number] = outcome
+        if outcome is Outcome.COMPLETED and not record.final:
+            record.final = "completed"
+        sent = record.pushes[number][1]
+        self.node.on_push_ended(self.now, id, number, outcome, self.now - sent, bool(record.final))
 
     def answer_probe(self, backend: str, outcome: Outcome, report: LoadReport = NO_REPORT) -> None:
         self.node.on_probe_ended(self.now, backend, outcome, report)
 
-    def lose(self, id: str) -> str:
-        """Neither this push nor the next one to its backend gets a connection. All others are completed."""
-        backend, step = self.accounts[id].pushes[0][0], 0
+    def fail_backend_of(self, id: str) -> str:
+        """Refuse this push's connection and that of the next push to the same backend; complete all others.
+
+        Returns the backend.
+        """
+        backend, step = self.records[id].pushes[0][0], 0
         self.end_push(id, 0, Outcome.UNREACHABLE)
-        met = False
-        while not met:
+        pushed_again = False
+        while not pushed_again:
             step += 1
-            assert step < 200, "its backend gets no other"
+            assert step < 200, "its backend gets no other push"
             self.advance(0.01)
-            account = self.submit(f"{id}{step}", tenant="")
+            record = self.submit(f"{id}{step}", tenant="")
             self.advance(0.01)
-            for number, (each, _) in enumerate(account.pushes):
-                met |= each == backend
+            for number, (target, _) in enumerate(record.pushes):
+                pushed_again |= target == backend
                 self.end_push(
-                    f"{id}{step}", number, Outcome.UNREACHABLE if each == backend else Outcome.COMPLETED
+                    f"{id}{step}", number, Outcome.UNREACHABLE if target == backend else Outcome.COMPLETED
                 )
         return backend
 
     def disconnect_client(self, id: str) -> None:
-        self.accounts[id].final = self.accounts[id].final or "left"
+        self.records[id].final = self.records[id].final or "left"
         self.node.on_client_gone(self.now, id)
 
     def open_pushes(self) -> list[tuple[str, int]]:
-        return [(id, number) for id, account in self.accounts.items()
-                for number in range(len(account.pushes)) if number not in account.ended]  # fmt: skip
-
-    def advance(self, span: float) -> None:
-        until = self.now + span
-        while self.timers and min(self.timers)[0] <= until:
+        """Invocation id and number of each push in flight."""
+        return [(id, number) for id, record in self.records.items()
+                for number in range(len(record.pushes)) if number not in record.outcomes]  # fmt: skip
+
+    def advance(self, seconds: float) -> None:
+        """Move the clock on and run the timers that are due."""
+        end = self.now + seconds
+        while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
             self.node.on_timer(self.now, due[1])
-        self.now = until
+        self.now = end
 
-    def complete_all(self, took: float = 0.01) -> None:
-        self.advance(took)
+    def complete_all(self, elapsed: float = 0.01) -> None:
+        self.advance(elapsed)
         for id, number in self.open_pushes():
             self.end_push(id, number, Outcome.COMPLETED)
 
 
 # The node on loopback sockets.
 
-
+# Log events of exceptions that the node caught and carried on from.
 UNEXPECTED_ERRORS = (
     "a decision failed",
     "a push failed",
@@ -230,27 +236,28 @@
 
 
 class RecordingLog:
-    """Keeps the lines of a node's log, and tells when one comes."""
+    """A logger that records events with their fields."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
 
     def __getattr__(self, level: str) -> Callable[..., None]:
-        return lambda event, **facts: self.lines.append((event, facts))
+        return lambda event, **fields: self.lines.append((event, fields))
 
     def find(self, event: str) -> dict | None:
-        return next((facts for line, facts in self.lines if line == event), None)
+        """The fields of the first such event."""
+        return next((fields for name, fields in self.lines if name == event), None)
 
 
-async def wait_until(condition: Callable[[], object], span: float = 5.0) -> None:
-    with anyio.fail_after(span):
+async def wait_until(condition: Callable[[], object], seconds: float = 5.0) -> None:
+    with anyio.fail_after(seconds):
         while not condition():
             await anyio.sleep(0.002)
 
 
 @dataclass
 class ReceivedMessage:
-    """One invocation as a peer received it whole."""
+    """A complete HTTP message as a server or client received it."""
 
     method: str
     target: str
@@ -259,17 +266,18 @@
 
 
 class FakeServer:
-    """A backend or a discovery service: answers each message by `answer`, whose bytes go out as they are.
+    """A backend or a discovery service: sends the bytes that `answer` returns for each message.
 
-    None: silent until the other side closes; b"": closes at once; bytes that end with CUT: closes after them.
+    None stays silent until the other side closes, b"" closes at once, and bytes that end with CUT are sent
+    without it before the connection is closed.
     """
 
     CUT = b"<cut>"
 
     def __init__(self, answer: Callable[[ReceivedMessage], bytes | None]) -> None:
         self.answer = answer
-        self.got: list[ReceivedMessage] = []
-        self.heads: list[str] = []  # ids of all whose head came, whole or not
+        self.received: list[ReceivedMessage] = []
+        self.head_ids: list[str] = []  # ids of all invocations whose head came, complete or not
         self.opened = 0
         self.closed = 0  # connections that the other side ended
         self.streams: list[anyio.abc.SocketStream] = []
@@ -279,44 +287,46 @@
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         task_status.started()
         async with listener:
-            await listener.serve(self._talk)
+            await listener.serve(self._serve_connection)
 
-    async def _talk(self, stream: anyio.abc.SocketStream) -> None:
+    async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         self.opened += 1
         self.streams.append(stream)
-        wire = h11.Connection(h11.SERVER)
+        protocol = h11.Connection(h11.SERVER)
         request, body = None, b""
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             async with stream:
                 while True:
-                    event = wire.next_event()
+                    event = protocol.next_event()
                     if event is h11.NEED_DATA:
                         try:
-                            wire.receive_data(await stream.receive())
+                            protocol.receive_data(await stream.receive())
                         except (anyio.EndOfStream, anyio.BrokenResourceError):
                             self.closed += 1
                             return
                     elif isinstance(event, h11.Request):
                         request, body = event, b""
-                        self.heads.append(dict(event.headers).get(b"x-call-id", b"").decode())
+                        self.head_ids.append(dict(event.headers).get(b"x-call-id", b"").decode())
                     elif isinstance(event, h11.Data):
                         body += bytes(event.data)
                     elif isinstance(event, h11.EndOfMessage):
                         headers = {name.decode(): value.decode() for name, value in request.headers}
-                        got = ReceivedMessage(request.method.decode(), request.target.decode(), headers, body)
-                        self.got.append(got)
-                        data = self.answer(got)
+                        message = ReceivedMessage(
+                            request.method.decode(), request.target.decode(), headers, body
+                        )
+                        self.received.append(message)
+                        data = self.answer(message)
                         if data is None:
-                            await self._silent(stream)
+                            await self._stay_silent(stream)
                             return
                         await stream.send(data.removesuffix(self.CUT))
                         if not data or data.endswith(self.CUT):
                             return
-                        wire = h11.Connection(h11.SERVER)
+                        protocol = h11.Connection(h11.SERVER)
                     else:
                         return
 
-    async def _silent(self, stream: anyio.abc.SocketStream) -> None:
+    async def _stay_silent(self, stream: anyio.abc.SocketStream) -> None:
         with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
             while True:
                 await stream.receive()
@@ -361,15 +371,15 @@
             "known": {"generation": 1, "reset": True, "instances": backends}}  # fmt: skip
 
 
-def list_reply(version: int, *instances: dict, whole: bool = False) -> bytes:
-    return reply(200, json.dumps({"generation": version, "reset": whole, "instances": instances}).encode())
+def list_reply(version: int, *instances: dict, snapshot: bool = False) -> bytes:
+    return reply(200, json.dumps({"generation": version, "reset": snapshot, "instances": instances}).encode())
 
 
 class Client:
-    """One connection of a client."""
+    """A client on one connection."""
 
     def __init__(self, stream: anyio.abc.SocketStream) -> None:
-        self.stream, self.wire = stream, h11.Connection(h11.CLIENT)
+        self.stream, self.protocol = stream, h11.Connection(h11.CLIENT)
 
     async def send(
         self, id: str, name: str, budget: int | None = 900, body: bytes = b"", **headers: str
@@ -378,25 +388,25 @@
         lines += [("X-Budget-Ms", str(budget))] if budget is not None else []
         lines += [(key.replace("_", "-"), value) for key, value in headers.items()]
         request = h11.Request(method="POST" if body else "GET", target=f"/{name}", headers=lines)
-        data = self.wire.send(request) + (self.wire.send(h11.Data(data=body)) if body else b"")
-        await self.stream.send(data + self.wire.send(h11.EndOfMessage()))
+        data = self.protocol.send(request) + (self.protocol.send(h11.Data(data=body)) if body else b"")
+        await self.stream.send(data + self.protocol.send(h11.EndOfMessage()))
 
     async def raw(self, data: bytes) -> ReceivedMessage:
-        """Sends these bytes and reads what is answered, whatever they are."""
+        """Send these bytes, valid or not, and read the answer."""
         await self.stream.send(data)
-        self.wire = h11.Connection(h11.CLIENT)
-        self.wire.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
-        self.wire.send(h11.EndOfMessage())
+        self.protocol = h11.Connection(h11.CLIENT)
+        self.protocol.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
+        self.protocol.send(h11.EndOfMessage())
         return await self.answer()
 
     async def answer(self) -> ReceivedMessage:
-        """The answer as it came; its status stands in `target`."""
+        """Read an answer; its status is in `target`."""
         head, body = None, b""
         with anyio.fail_after(5.0):
             while True:
-                event = self.wire.next_event()
+                event = self.protocol.next_event()
                 if event is h11.NEED_DATA:
-                    self.wire.receive_data(await self.stream.receive())
+                    self.protocol.receive_data(await self.stream.receive())
                 elif isinstance(event, h11.Response):
                     head = event
                 elif isinstance(event, h11.Data):
@@ -405,16 +415,16 @@
                     break
                 else:
                     raise AssertionError(f"no answer: {event}")
-        if self.wire.states[h11.CLIENT] is h11.DONE and self.wire.states[h11.SERVER] is h11.DONE:
-            self.wire.start_next_cycle()
+        if self.protocol.states[h11.CLIENT] is h11.DONE and self.protocol.states[h11.SERVER] is h11.DONE:
+            self.protocol.start_next_cycle()
         headers = {name.decode(): value.decode() for name, value in head.headers}
         return ReceivedMessage("", str(head.status_code), headers, body)
 
     async def answer_to(self, id: str) -> ReceivedMessage:
-        """The answer to what was sent as bare bytes."""
-        self.wire = h11.Connection(h11.CLIENT)
-        self.wire.send(h11.Request(method="GET", target="/", headers=[("Host", "a"), ("X-Call-Id", id)]))
-        self.wire.send(h11.EndOfMessage())
+        """Read the answer to an invocation that was sent as plain bytes."""
+        self.protocol = h11.Connection(h11.CLIENT)
+        self.protocol.send(h11.Request(method="GET", target="/", headers=[("Host", "a"), ("X-Call-Id", id)]))
+        self.protocol.send(h11.EndOfMessage())
         return await self.answer()
 
     async def ask(self, *args: Any, **kwargs: Any) -> ReceivedMessage:
@@ -423,7 +433,7 @@
 
 
 async def call(port: int, method: str, path: str, body: bytes | None = None) -> tuple[int, dict]:
-    """One operator's call, whole; its answer has to come within a second and end the connection."""
+    """Make an operator's call. Its answer has to come within a second and close the connection."""
     with anyio.fail_after(1.0):
         async with await anyio.connect_tcp("127.0.0.1", port) as stream:
             size = b"" if body is None else b"Content-Length: %d\r\n" % len(body)
@@ -444,33 +454,33 @@
 
 
 class LoopbackCluster:
-    """One node, some backends and a discovery service on loopback."""
+    """A node, some backends and a discovery service on loopback."""
 
     def __init__(
         self,
         *answers: Callable[[ReceivedMessage], bytes | None],
         sockets: int = 1024,
         memory: int = 192,
-        tells: Callable[[ReceivedMessage], bytes | None] = lambda got: (
-            list_reply(1) if got.target.endswith("=0") else None
+        list_answer: Callable[[ReceivedMessage], bytes | None] = lambda message: (
+            list_reply(1) if message.target.endswith("=0") else None
         ),
         info: dict | None = None,
     ) -> None:
         self.backends = [FakeServer(answer) for answer in answers]
-        self.discovery = FakeServer(tells)
+        self.discovery = FakeServer(list_answer)
         self.log, self.sockets, self.memory, self.info = RecordingLog(), sockets, memory, info
 
     async def __aenter__(self) -> LoopbackCluster:
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
-        for peer in (*self.backends, self.discovery):
-            await self.tasks.start(peer.serve)
-        lines = [list_line(number, peer.port) for number, peer in enumerate(self.backends)]
-        file = config(lines, self.discovery.port, self.sockets, self.memory, self.info)
-        file["admin_addr"] = "127.0.0.1:0"
+        for server in (*self.backends, self.discovery):
+            await self.tasks.start(server.serve)
+        lines = [list_line(number, server.port) for number, server in enumerate(self.backends)]
+        document = config(lines, self.discovery.port, self.sockets, self.memory, self.info)
+        document["admin_addr"] = "127.0.0.1:0"
         self.folder = tempfile.TemporaryDirectory()
-        given = settings.decode(file, {"TMPDIR": self.folder.name})
-        self.tasks.start_soon(service.run, given, messages.decode_list(given.known), self.log)
+        node_config = settings.decode(document, {"TMPDIR": self.folder.name})
+        self.tasks.start_soon(service.run, node_config, messages.decode_list(node_config.known), self.log)
         await wait_until(lambda: self.log.find("serving"))
         self.port = self.log.find("serving")["listen"][1]
         self.admin = self.log.find("serving")["admin"][1]
@@ -480,7 +490,7 @@
         self.tasks.cancel_scope.cancel()
         await self.tasks.__aexit__(None, None, None)
         self.folder.cleanup()
-        assert not [line for line, _ in self.log.lines if line in UNEXPECTED_ERRORS]
+        assert not [event for event, _ in self.log.lines if event in UNEXPECTED_ERRORS]
 
     async def call(self, method: str, path: str, body: bytes | None = None) -> tuple[int, dict]:
         return await call(self.admin, method, path, body)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -85,7 +85,7 @@
     steps: list[str], rule: tuple[float, float, float], seed: int
 ) -> None:
     """Counted at the host: a push beyond the first, unless it turned out not to have been sent."""
-    host = FakeHost(seed, further=RetryBudgetRule(*rule))
+    host = FakeHost(seed, retry_budget=RetryBudgetRule(*rule))
     host.send_list([entry(n) for n in range(8)])
     taken: list[float] = []
     ends = {"break": Outcome.CONNECTION_LOST, "full": Outcome.REJECTED, "unsent": Outcome.NOT_SENT,
@@ -99,24 +99,24 @@
         elif host.open_pushes():
             host.end_push(*host.open_pushes()[0], ends[step])
         further = [
-            sent for account in host.accounts.values() for number, (_, sent) in enumerate(account.pushes)
-            if number and account.ended.get(number) is not Outcome.NOT_SENT
+            sent for record in host.records.values() for number, (_, sent) in enumerate(record.pushes)
+            if number and record.outcomes.get(number) is not Outcome.NOT_SENT
         ]  # fmt: skip
         for end in further:
             begin = end - rule[2]
             came = sum(begin < at <= end for at in taken)
             assert sum(begin <= at <= end for at in further) <= rule[0] + rule[1] * came + 1e-9
-    settled = [each for each in host.accounts.values() if len(each.ended) == len(each.pushes)]
-    assert all(account.final for account in settled)
+    settled = [record for record in host.records.values() if len(record.outcomes) == len(record.pushes)]
+    assert all(record.final for record in settled)
 
 
 def test_without_budget_left_an_invocation_is_answered_at_once() -> None:
-    host = FakeHost(further=RetryBudgetRule(1.0, 0.0, 5.0))
+    host = FakeHost(retry_budget=RetryBudgetRule(1.0, 0.0, 5.0))
     host.send_list([entry(n) for n in range(8)])
     for id in "ab":
         host.submit(id, "pay")
         host.end_push(id, 0, Outcome.REJECTED)
-    assert len(host.accounts["a"].pushes) == 2 and host.accounts["b"].final == "nacked"
+    assert len(host.records["a"].pushes) == 2 and host.records["b"].final == "nacked"
 
 
 def test_a_new_span_forgets_nothing_that_was_pushed() -> None:
@@ -136,9 +136,9 @@
     """To which backends pushes go, all being sound."""
     met = set()
     for step in range(80):
-        account = host.submit(f"s{host.now}.{step}", tenant="")
+        record = host.submit(f"s{host.now}.{step}", tenant="")
         host.complete_all(0.02)
-        met.add(account.pushes[0][0])
+        met.add(record.pushes[0][0])
     return met
 
 
@@ -164,7 +164,7 @@
         host.submit(f"d{host.now}", tenant="")
         host.advance(0.02)
         for id, number in host.open_pushes():
-            lost = host.accounts[id].pushes[number][0] == "b02"
+            lost = host.records[id].pushes[number][0] == "b02"
             host.end_push(id, number, Outcome.UNREACHABLE if lost else Outcome.COMPLETED)
     host.complete_all()
     host.advance(8.0)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -88,9 +88,9 @@
 
 async def settled(bank: LoopbackCluster, peer: FakeServer) -> None:
     """Returns when the node has served another client since: what was to come of the first has come."""
-    before = len(peer.got)
+    before = len(peer.received)
     assert (await bank.ask("later", "look")).target == "200"
-    assert len(peer.got) == before + 1
+    assert len(peer.received) == before + 1
 
 
 @ENDS
@@ -109,7 +109,7 @@
         gate.open.set()
         await wait_until(lambda: gate.passed == 1)
         await settled(bank, bank.backends[0])
-        assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["later"]
+        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["later"]
         raw.close()
 
 
@@ -121,12 +121,12 @@
     async with LoopbackCluster(done) as bank:
         raw = client(bank.port)
         raw.sendall(asks("a0"))
-        await wait_until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].received)
         assert (await anyio.to_thread.run_sync(raw.recv, 65536)).startswith(b"HTTP/1.1 200")
         raw.sendall(asks("a1"))
         end(raw)
         await settled(bank, bank.backends[0])
-        assert "a1" not in [got.headers["x-call-id"] for got in bank.backends[0].got]
+        assert "a1" not in [got.headers["x-call-id"] for got in bank.backends[0].received]
         raw.close()
 
 
@@ -148,8 +148,8 @@
         gate.open.set()
         await wait_until(lambda: gate.passed == 1)
         await settled(bank, bank.backends[0])
-        assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["later"]
-        assert bank.backends[0].heads == ["later"]
+        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["later"]
+        assert bank.backends[0].head_ids == ["later"]
         raw.close()
 
 
@@ -173,7 +173,7 @@
         await wait_until(lambda: ended)
         for number in range(6):
             assert (await bank.ask(f"b{number}", "look")).target == "200"
-        ids = [got.headers["x-call-id"] for peer in bank.backends for got in peer.got]
+        ids = [got.headers["x-call-id"] for peer in bank.backends for got in peer.received]
         assert ids.count("aa") == 1
         raw.close()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -150,7 +150,7 @@
         await client.stream.aclose()
         await wait_until(lambda: POOLS[0].open_connections == 0)  # closed, and its place is free
         assert (await bank.ask("a2", "look")).body == b"a2 done"
-        assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["a0", "a2"]
+        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["a0", "a2"]
 
 
 async def test_a_sweep_while_a_connection_rests_gives_no_connection_to_two(
@@ -227,9 +227,9 @@
 
         async def disturb() -> None:
             for _ in range(12):
-                count = len(peer.got)
+                count = len(peer.received)
                 with anyio.move_on_after(1.0):
-                    await wait_until(lambda: len(peer.got) > count)  # noqa: B023
+                    await wait_until(lambda: len(peer.received) > count)  # noqa: B023
                 # Never an answer amid a request that is out: no node could tell that from its own.
                 name = rng.choice(["a close", "a reset"])
                 await BETWEEN[name](peer)
@@ -238,6 +238,6 @@
             for number in range(4):
                 tasks.start_soon(ask, number)
             tasks.start_soon(disturb)
-        once = [got.headers["x-call-id"] for got in peer.got if got.target == "/pay"]
+        once = [got.headers["x-call-id"] for got in peer.received if got.target == "/pay"]
         assert len(once) == len(set(once)), "run twice"
         assert ran
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -104,7 +104,7 @@
                 discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
                 place.listen(16)
                 tasks.start_soon(_serve_at, place, discovery, tasks)
-                await wait_until(lambda: discovery.got, 10.0)
+                await wait_until(lambda: discovery.received, 10.0)
                 await served(door, "b")
                 text = bytes(log)
                 assert b"Traceback" not in text and b"could not be accepted" not in text
--- a/tests/test_end_crossings.py
+++ b/tests/test_end_crossings.py
@@ -114,7 +114,7 @@
             await client.stream.receive()  # a plain end: no reset overtook the answer
         with anyio.fail_after(10.0):
             assert await process.wait() == 0
-        assert [got.headers["x-call-id"] for got in backend.got].count("a") == 1
+        assert [got.headers["x-call-id"] for got in backend.received].count("a") == 1
 
 
 async def test_a_retry_at_the_end_goes_on_to_its_answer(tmp_path: Path) -> None:
@@ -142,7 +142,7 @@
         client = await connect(port)
         await client.send("a", "look", 900)
         # Nothing is read yet: what the kernels do not hold waits in the node.
-        await wait_until(lambda: backend.got)
+        await wait_until(lambda: backend.received)
         await leaving(process, port)
         answer = await client.answer()
         assert (answer.target, len(answer.body)) == ("200", LARGE)
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -16,10 +16,10 @@
 from harness import (
     OFFERINGS,
     SETTINGS,
-    Account,
     Client,
     FakeHost,
     FakeServer,
+    InvocationRecord,
     LoopbackCluster,
     ReceivedMessage,
     entry,
@@ -131,20 +131,20 @@
             with anyio.fail_after(0.29):
                 event = h11.NEED_DATA
                 while event is h11.NEED_DATA:
-                    client.wire.receive_data(await client.stream.receive())
-                    event = client.wire.next_event()
+                    client.protocol.receive_data(await client.stream.receive())
+                    event = client.protocol.next_event()
             assert event.status_code == 200
             await anyio.sleep(0.4)  # past the invocation's time: it is its client's
             await bank.backends[0].streams[0].aclose()
             with pytest.raises(h11.RemoteProtocolError), anyio.fail_after(2.0):
                 while True:
-                    event = client.wire.next_event()
+                    event = client.protocol.next_event()
                     if event is h11.NEED_DATA:
                         try:
-                            client.wire.receive_data(await client.stream.receive())
+                            client.protocol.receive_data(await client.stream.receive())
                         except (anyio.EndOfStream, anyio.BrokenResourceError):
-                            client.wire.receive_data(b"")
-            assert len(bank.backends[0].got) == 1
+                            client.protocol.receive_data(b"")
+            assert len(bank.backends[0].received) == 1
 
 
 # Invocations.
@@ -180,7 +180,7 @@
                 if at * 2 > len(raw) > (at - size) * 2:
                     await anyio.sleep(0.8)  # longer than its client waits for the answer
             assert (await client.answer_to("a")).body == f"a{number}".encode()
-            assert bank.backends[0].got[-1].body == BODY
+            assert bank.backends[0].received[-1].body == BODY
         assert bank.backends[0].opened == 1
 
 
@@ -191,7 +191,7 @@
         assert (await client.stream.receive()).startswith(b"HTTP/1.1 100 ")
         await client.stream.send(BODY[:200_000])
         await wait_until(lambda: bank.backends[0].opened == 1)
-        assert not bank.backends[0].got
+        assert not bank.backends[0].received
         await client.stream.send(BODY[200_000:])
         assert (await client.answer_to("a")).target == "200"
 
@@ -209,7 +209,7 @@
         # What is still to come of it is read, and the connection is good for the next.
         await client.stream.send(BODY[200_000:])
         assert (await client.ask("b", "pay", body=b"x")).target == "200"
-        assert [got.headers["x-call-id"] for backend in bank.backends for got in backend.got] == ["b"]
+        assert [got.headers["x-call-id"] for backend in bank.backends for got in backend.received] == ["b"]
 
 
 async def test_a_backend_that_takes_nothing_more_ends_its_push(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -220,7 +220,7 @@
             bank.discovery.answer = lambda got: news_of if "from=1" in got.target else None
             for stream in list(bank.discovery.streams):
                 await stream.aclose()
-            await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.got))
+            await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.received))
             client = await bank.client()
             tasks.start_soon(client.stream.send, head("a", "Content-Length: 30000000") + bytes(30_000_000))
             assert (await client.answer_to("a")).target == "503"
@@ -254,7 +254,7 @@
             assert (await trickle.answer_to("a")).target == "408"
             assert (await steady.answer_to("b")).target == "200"
         await wait_until(lambda: bank.backends[0].closed == 1)
-        assert [got.headers["x-call-id"] for got in bank.backends[0].got] == ["b"]
+        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["b"]
 
 
 async def test_what_is_nacked_at_its_head_is_read_to_no_more_than_the_most(
@@ -280,7 +280,7 @@
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
         await client.stream.send(head("a", "Transfer-Encoding: chunked") + 5 * chunk)
         assert (await client.answer_to("a")).target == "413"
-        assert not bank.backends[0].got and messages.MAX_BODY_BYTES > 32 * 2**20
+        assert not bank.backends[0].received and messages.MAX_BODY_BYTES > 32 * 2**20
 
 
 async def test_memory_stays_bounded_under_many_large_bodies_both_ways(tmp_path: Path) -> None:
@@ -346,9 +346,9 @@
 
 
 def test_one_that_flows_is_pushed_once_and_its_way_here_teaches_nothing() -> None:
-    bench = FakeHost(copies=False)
+    bench = FakeHost(hedging=False)
     bench.send_list([entry(number) for number in range(3)])
-    account = bench.accounts["a"] = Account(OFFERINGS[0], bench.now + 100.0)
+    account = bench.records["a"] = InvocationRecord(OFFERINGS[0], bench.now + 100.0)
     bench.node.on_invocation(bench.now, Invocation("a", "look", "t", 100.0, None, False, True))
     assert len(account.pushes) == 1
     bench.advance(8.0)  # on its way
@@ -365,7 +365,7 @@
         (Outcome.NOT_SENT, "nacked"),
     ):
         id = outcome.value
-        account = bench.accounts[id] = Account(OFFERINGS[0], bench.now + 100.0)
+        account = bench.records[id] = InvocationRecord(OFFERINGS[0], bench.now + 100.0)
         bench.node.on_invocation(bench.now, Invocation(id, "look", "t", 100.0, None, False, True))
         bench.end_push(id, 0, outcome)
         assert (account.final, len(account.pushes)) == (final, 1)
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -65,7 +65,7 @@
 def test_what_lay_unread_past_its_time_is_nacked_without_a_push() -> None:
     bench = FakeHost()
     bench.send_list([entry(n) for n in range(3)])
-    assert bench.submit("a", "pay", time_left=0.004).final == "nacked" and not bench.accounts["a"].pushes
+    assert bench.submit("a", "pay", time_left=0.004).final == "nacked" and not bench.records["a"].pushes
     assert 0.0 < bench.node.shed_unread(bench.now, "pay", 0.004, 0.9) <= 0.5
     assert bench.node.shed_unread(bench.now + 1.0, "pay", 0.5, 0.0) is None
 
@@ -121,7 +121,7 @@
             assert got.headers.get("connection") is None
         assert (await bank.ask("b", "look", 500)).target == "503"
         assert b"Connection: close" in await at_once(bank)
-        assert len(bank.backends[0].got) == 1
+        assert len(bank.backends[0].received) == 1
         assert {name for name, _, _ in told} == {"pay", "look"}
         come_back = None
         told.clear()
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -95,7 +95,7 @@
     host.send_list([entry(n) for n in range(5)], ListKind.RESTORED)
     host.advance(6.0)
     host.submit("a")
-    backend = host.lose("a")
+    backend = host.fail_backend_of("a")
     for step in range(400):
         host.submit(f"i{step}")
         host.complete_all(0.02)
@@ -122,15 +122,15 @@
 
 def test_a_crowded_zone_is_left_before_each_of_its_backends_is_met() -> None:
     """Guards against a trickle that stays in a crowded zone of which it has met few backends."""
-    host = FakeHost(nodes=400, copies=False, probes=False)
+    host = FakeHost(nodes=400, hedging=False, probes=False)
     host.send_list([entry(n)._replace(zone="xy"[n // 2 % 2]) for n in range(40)])
     places = []
     for step in range(220):
-        account = host.submit(f"i{step}", "pay", time_left=3.0, tenant="")
-        place = host.entries[account.pushes[0][0]].zone if account.pushes else "nacked"
+        record = host.submit(f"i{step}", "pay", time_left=3.0, tenant="")
+        place = host.entries[record.pushes[0][0]].zone if record.pushes else "nacked"
         places.append(place)
         host.advance(0.25 if place == "x" and step > 100 else 0.05)
-        if account.pushes:
+        if record.pushes:
             host.end_push(f"i{step}", 0, Outcome.COMPLETED)
     assert "y" not in places[:100] and places.count("y") > 10, places
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -32,7 +32,7 @@
 
 def settled(backends: list[int], **given: object) -> FakeHost:
     """A node that has served these backends for a while and had reports of them."""
-    host = FakeHost(asks=1.0, **given)
+    host = FakeHost(probes_per_invocation=1.0, **given)
     host.send_list([entry(n) for n in backends])
     for step in range(30):
         host.submit(f"w{step}")
@@ -51,21 +51,21 @@
     """Guards against nacks while the fleet has room: 50 nodes, 40 backends, most traffic is here."""
     finals = {}
     for asks in (0.0, 3.0):
-        host = FakeHost(nodes=50, asks=asks)
+        host = FakeHost(nodes=50, probes_per_invocation=asks)
         host.send_list([entry(n) for n in range(40)])
         for step in range(600):
             host.submit(f"i{step}", tenant="")
             told(host, 0.5)
             host.advance(0.005)
             for id, number in host.open_pushes():
-                if host.now - host.accounts[id].pushes[number][1] >= 0.05:
+                if host.now - host.records[id].pushes[number][1] >= 0.05:
                     host.end_push(id, number, Outcome.COMPLETED)
-        finals[asks] = sum(account.final == "nacked" for account in host.accounts.values())
+        finals[asks] = sum(record.final == "nacked" for record in host.records.values())
     assert finals[0.0] > 100 and finals[3.0] == 0, finals
 
 
 def test_probes_are_few_and_go_to_those_whose_turn_comes() -> None:
-    host = FakeHost(asks=0.5)
+    host = FakeHost(probes_per_invocation=0.5)
     host.send_list([entry(n) for n in range(20)])
     asked = 0
     for step in range(200):
@@ -75,7 +75,7 @@
         told(host)
         host.complete_all(0.02)
     assert 90 <= asked <= 101, "half a probe an invocation"
-    host = FakeHost(asks=0.0)
+    host = FakeHost(probes_per_invocation=0.0)
     host.send_list([entry(n) for n in range(20)])
     for step in range(50):
         host.submit(f"i{step}")
@@ -84,7 +84,7 @@
 
 
 def test_a_report_of_many_held_makes_the_pick_yield_until_it_is_old() -> None:
-    host, met = settled([0, 2], copies=False), []
+    host, met = settled([0, 2], hedging=False), []
     for step in range(40):
         host.answer_probe("b00", Outcome.COMPLETED, LoadReport(20.0))
         host.answer_probe("b02", Outcome.COMPLETED, LoadReport(1.0))
@@ -102,7 +102,7 @@
 
 
 def test_missing_and_odd_values_change_nothing() -> None:
-    hosts = [FakeHost(5, asks=0.0), FakeHost(5, asks=0.0)]
+    hosts = [FakeHost(5, probes_per_invocation=0.0), FakeHost(5, probes_per_invocation=0.0)]
     for odd, host in enumerate(hosts):
         host.send_list([entry(n) for n in range(6)])
         for step in range(60):
@@ -111,7 +111,7 @@
                 host.answer_probe("nobody", Outcome.COMPLETED, LoadReport(9.0))
             host.submit(f"i{step}")
             host.complete_all(0.02)
-    first, second = ([account.pushes for account in host.accounts.values()] for host in hosts)
+    first, second = ([record.pushes for record in host.records.values()] for host in hosts)
     assert first == second
     for value in (-1, 1e99, float("nan"), float("inf"), "4", None, True, [], {}):
         assert (
@@ -125,7 +125,7 @@
 
 def test_a_backend_that_holds_and_completes_nothing_is_out_though_probes_reach_it() -> None:
     """Guards against a hang that a shallow probe does not see: each answer to one brought it back."""
-    host = FakeHost(asks=1.0)
+    host = FakeHost(probes_per_invocation=1.0)
     host.send_list([entry(n) for n in range(6)])
     host.answer_probe("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
     assert host.node.health.stats["b01"].ejection_cause == "hung"
@@ -137,7 +137,7 @@
 
 
 def test_a_backend_whose_report_counts_errors_is_out_until_it_counts_none() -> None:
-    host = FakeHost(asks=1.0)
+    host = FakeHost(probes_per_invocation=1.0)
     host.send_list([entry(n) for n in range(6)])
     host.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
     host.answer_probe("b02", Outcome.COMPLETED, LoadReport(6.0, 0.2))
@@ -152,21 +152,21 @@
 def test_a_tagged_push_moves_off_a_silent_backend_within_its_window_only() -> None:
     """Guards against a tagged invocation left on a silent backend, and against one moved off a slow one."""
     for silent, group, moves in ((True, "mark", 1), (False, "mark", 0), (True, "book", 0)):
-        host, cancelled = settled(list(range(8)), copies=False), []
+        host, cancelled = settled(list(range(8)), hedging=False), []
         host.cancel = lambda id, number, cancelled=cancelled: cancelled.append((id, number))
-        account = host.submit("a", group)
-        first = account.pushes[0][0]
+        record = host.submit("a", group)
+        first = record.pushes[0][0]
         for _ in range(14):
             host.advance(0.025)
             host.probes[:] = [backend for backend in host.probes if backend == first and silent]
             if not silent:
                 host.answer_probe(first, Outcome.COMPLETED, LoadReport(4.0))
             for id, number in cancelled:
-                if number not in host.accounts[id].ended:
+                if number not in host.records[id].outcomes:
                     host.end_push(id, number, Outcome.CANCELLED)
-        assert len(account.pushes) == 1 + moves, (silent, group)
+        assert len(record.pushes) == 1 + moves, (silent, group)
         if moves:
-            (_, sent), (backend, again) = account.pushes
+            (_, sent), (backend, again) = record.pushes
             assert backend != first and again < sent + 0.4
 
 
@@ -174,27 +174,27 @@
 def test_what_is_lost_is_answered_at_once_and_nacks_say_when_to_come_back(seed: int) -> None:
     """Guards against a lost invocation held until its time is almost up, so that its client stays quiet."""
     rng = random.Random(seed)
-    host = FakeHost(seed, copies=False, asks=1.0)
+    host = FakeHost(seed, hedging=False, probes_per_invocation=1.0)
     host.send_list([entry(n) for n in range(5)])
     come_back = []
     nack = host.nack
     host.nack = lambda id, after: (come_back.append(after), nack(id, after))
     for step in range(200):
-        account = host.submit(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
+        record = host.submit(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
         told(host, rng.choice([1.0, 5.0]))
         host.advance(rng.choice([0.01, 0.05]))
-        while not account.final and len(account.ended) < len(account.pushes):
+        while not record.final and len(record.outcomes) < len(record.pushes):
             host.end_push(
-                f"i{step}", len(account.ended), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST])
+                f"i{step}", len(record.outcomes), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST])
             )
-        assert account.final, "given up and not answered at once"
+        assert record.final, "given up and not answered at once"
     assert come_back and all(0.0 < after <= 0.5 for after in come_back)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_in_random_runs_with_reports(seed: int) -> None:
     rng = random.Random(seed)
-    host = FakeHost(seed, copies=seed % 2 == 0, nodes=30, asks=3.0, worst_offering=0.3)
+    host = FakeHost(seed, hedging=seed % 2 == 0, nodes=30, probes_per_invocation=3.0, worst_offering=0.3)
     host.send_list([entry(n) for n in range(8)], ListKind.RESTORED)
     odd = (
         NO_REPORT,
@@ -216,12 +216,12 @@
         host.advance(rng.choice([0.0, 0.01, 0.1]))
     while host.open_pushes():
         host.end_push(*host.open_pushes()[0], Outcome.CANCELLED)
-    assert all(account.final for account in host.accounts.values()) and not host.node.active
+    assert all(record.final for record in host.records.values()) and not host.node.active
 
 
 def test_the_worst_served_offering_weighs_by_the_settings() -> None:
     def rank(worst: float) -> float:
-        host = FakeHost(worst_offering=worst, asks=1.0)
+        host = FakeHost(worst_offering=worst, probes_per_invocation=1.0)
         for step in range(100):
             host.submit(f"i{step}", "pay" if step % 4 else "look")
         return host.node.admission.offering_rank(host.node.offerings["look"], 0.05)
@@ -282,7 +282,7 @@
                 assert (await bank.ask(f"a{number}", "look")).target == "200"
                 if number >= 39 and len(heard) == 4:
                     break
-        assert not any(got.target == "/health/live" for each in bank.backends for got in each.got)
+        assert not any(got.target == "/health/live" for each in bank.backends for got in each.received)
     assert heard.pop("s0") == LoadReport(7.0, 0.5)
     assert set(heard.values()) == {NO_REPORT}
 
@@ -292,4 +292,4 @@
     async with LoopbackCluster(lambda got: reply(200)) as bank:
         for number in range(20):
             assert (await bank.ask(f"a{number}", "look")).target == "200"
-        assert {got.target for got in bank.backends[0].got} == {"/look"}
+        assert {got.target for got in bank.backends[0].received} == {"/look"}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -37,7 +37,7 @@
         )
         assert (answer.target, answer.body) == ("200", b"aa done")
         assert answer.headers["content-type"] == "text/odd"
-        [got] = bank.backends[0].got
+        [got] = bank.backends[0].received
         assert (got.method, got.target, got.body) == (
             "POST",
             "/pay/now?key=0f&x=%20",
@@ -72,7 +72,7 @@
     async with LoopbackCluster(answer, answer) as bank:
         got = await bank.ask("aa", "pay", body=b"x")
         assert got.target == "502"
-        assert sum(len(backend.got) for backend in bank.backends) == 1
+        assert sum(len(backend.received) for backend in bank.backends) == 1
 
 
 SPOILT = {
@@ -96,7 +96,7 @@
         began = anyio.current_time()
         assert (await bank.ask("aa", "pay", body=b"x")).target == "502"
         assert anyio.current_time() - began < 0.5
-        await wait_until(lambda: bank.backends[0].closed == len(bank.backends[0].got) == 1)
+        await wait_until(lambda: bank.backends[0].closed == len(bank.backends[0].received) == 1)
         assert not any("dead" in line for line, _ in bank.log.lines)
 
 
@@ -131,10 +131,10 @@
         )
         for stream in list(bank.discovery.streams):
             await stream.aclose()
-        await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.got))
+        await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.received))
         for number in range(6):
             assert (await bank.ask(f"a{number}", "pay", body=b"x")).target == "200"
-        assert len(bank.backends[1].got) == 6
+        assert len(bank.backends[1].received) == 6
 
 
 async def test_silence_ends_before_the_cut_off_and_closes_the_connection() -> None:
@@ -149,7 +149,7 @@
     async with LoopbackCluster(lambda _: None) as bank:
         client = await bank.client()
         await client.send("aa", "pay", body=b"x")
-        await wait_until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].received)
         await client.stream.aclose()
         await wait_until(lambda: bank.backends[0].closed == 1, 0.5)
 
@@ -192,14 +192,14 @@
         other, bad = await bank.client(), await bank.client()
         assert (await bad.raw(raw)).target == status
         assert (await other.ask("aa", "look")).target == "200"
-        assert [got.target for got in bank.backends[0].got] == ["/look"]
+        assert [got.target for got in bank.backends[0].received] == ["/look"]
 
 
 async def test_bytes_that_follow_while_an_invocation_is_in_hand_end_it() -> None:
     async with LoopbackCluster(lambda _: None) as bank:
         client = await bank.client()
         await client.send("aa", "look")
-        await wait_until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].received)
         await client.stream.send(b"more")
         assert (await client.answer()).target == "400"
         await wait_until(lambda: bank.backends[0].closed == 1, 0.5)
@@ -229,8 +229,8 @@
 async def test_a_watch_outlives_calls_that_take_longer_than_its_pace(monkeypatch: pytest.MonkeyPatch) -> None:
     # Ended the node: the rest of the pace came out negative after a call that had waited.
     monkeypatch.setattr(Watch, "MIN_POLL_INTERVAL_SECONDS", 0.0)
-    async with LoopbackCluster(done, tells=lambda _: list_reply(1)) as bank:
-        await wait_until(lambda: len(bank.discovery.got) >= 10)
+    async with LoopbackCluster(done, list_answer=lambda _: list_reply(1)) as bank:
+        await wait_until(lambda: len(bank.discovery.received) >= 10)
         assert (await bank.ask("aa", "look")).target == "200"
         assert bank.log.find("a call for the list failed") is None
 
@@ -241,20 +241,20 @@
             return list_reply(2, {**list_line(0, 1), "lifecycle": "terminating"})
         return list_reply(1) if got.target.endswith("=0") else None
 
-    async with LoopbackCluster(done, done, tells=answer) as bank:
-        await wait_until(lambda: any("from=2&" in got.target for got in bank.discovery.got), 8.0)
+    async with LoopbackCluster(done, done, list_answer=answer) as bank:
+        await wait_until(lambda: any("from=2&" in got.target for got in bank.discovery.received), 8.0)
         for number in range(6):
             assert (await bank.ask(f"a{number}", "look")).target == "200"
-        assert not bank.backends[0].got and len(bank.backends[1].got) == 6
+        assert not bank.backends[0].received and len(bank.backends[1].received) == 6
 
 
 async def test_a_failed_call_is_made_again() -> None:
     async with LoopbackCluster(done) as bank:
-        await wait_until(lambda: len(bank.discovery.got) >= 2)
+        await wait_until(lambda: len(bank.discovery.received) >= 2)
         bank.discovery.answer = lambda _: reply(503)
         await bank.discovery.streams[-1].aclose()
-        count = len(bank.discovery.got)
-        await wait_until(lambda: len(bank.discovery.got) >= count + 3)
+        count = len(bank.discovery.received)
+        await wait_until(lambda: len(bank.discovery.received) >= count + 3)
         assert (await bank.ask("aa", "look")).target == "200"
 
 
@@ -268,11 +268,11 @@
         bank.discovery.answer = lambda _: None
         await wait_until(lambda: bank.discovery.closed >= 3)
         assert bank.log.find("a call for the list failed") is not None
-        bank.discovery.answer = lambda got: list_reply(7, list_line(0, 1, "terminating"), whole=True)
-        await wait_until(lambda: any("from=7" in got.target for got in bank.discovery.got))
+        bank.discovery.answer = lambda got: list_reply(7, list_line(0, 1, "terminating"), snapshot=True)
+        await wait_until(lambda: any("from=7" in got.target for got in bank.discovery.received))
         assert (await bank.ask("aa", "look")).target == "503"
-        began, count = anyio.current_time(), len(bank.discovery.got)
-        await wait_until(lambda: len(bank.discovery.got) >= count + 4)
+        began, count = anyio.current_time(), len(bank.discovery.received)
+        await wait_until(lambda: len(bank.discovery.received) >= count + 4)
         assert anyio.current_time() - began > 2 * Watch.MIN_POLL_INTERVAL_SECONDS  # not as fast as it answers
 
 
@@ -346,7 +346,7 @@
         client = await bank.client()
         assert (await client.raw(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")).target == "200"
         await client.send("aa", "look", 400)
-        await wait_until(lambda: bank.backends[0].got)
+        await wait_until(lambda: bank.backends[0].received)
         assert (await bank.ask("aa", "look")).target == "400"
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -42,12 +42,12 @@
 
 
 async def test_status_says_yes_once_the_list_is_known_and_no_before() -> None:
-    async with LoopbackCluster(done, tells=lambda _: None) as bank:
+    async with LoopbackCluster(done, list_answer=lambda _: None) as bank:
         status, facts = await bank.call("GET", "/status")
         assert (status, facts["ready"]) == (503, False)
         bank.discovery.answer = lambda got: list_reply(1) if got.target.endswith("=0") else None
         await bank.discovery.streams[0].aclose()
-        await wait_until(lambda: len(bank.discovery.got) >= 3)
+        await wait_until(lambda: len(bank.discovery.received) >= 3)
         status, facts = await bank.call("GET", "/status")
         assert (status, facts["ready"], facts["backends"]) == (200, True, 1)
 
@@ -126,27 +126,27 @@
         for number in range(8):
             await bank.ask(f"a{number}", "look")
         first = bank.backends[0]
-        assert first.got
+        assert first.received
         for _ in range(2):  # out twice, back once
             assert await bank.call("POST", "/maintenance/enter", body("s0")) == (
                 200,
                 {"host": "s0", "maintenance": True},
             )
         await wait_until(lambda: first.closed == first.opened)  # what stood idle went
-        count = len(first.got)
+        count = len(first.received)
         # Discovery lists it as running, and as started anew, all the while.
         again = {**list_line(0, first.port), "startedAtMs": 1}
         bank.discovery.answer = lambda got: list_reply(2, again) if "from=1&" in got.target else None
         await bank.discovery.streams[-1].aclose()
-        await wait_until(lambda: any("from=2&" in got.target for got in bank.discovery.got))
+        await wait_until(lambda: any("from=2&" in got.target for got in bank.discovery.received))
         for number in range(8):
             assert (await bank.ask(f"b{number}", "look")).target == "200"
-        assert len(first.got) == count
+        assert len(first.received) == count
         assert (await bank.call("POST", "/maintenance/exit", body("s0")))[0] == 200
 
         async def used() -> None:
             number = 0
-            while not any(got.target == "/look" for got in first.got[count:]):
+            while not any(got.target == "/look" for got in first.received[count:]):
                 number += 1
                 await bank.ask(f"c{number}", "look")
                 await anyio.sleep(0.01)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -67,7 +67,7 @@
         idle, busy, old = await connect(port), await connect(port), await connect(port)
         assert (await idle.ask("a0", "pay", body=b"x")).target == "200"
         await busy.send("a1", "look", 800)
-        await wait_until(lambda: len(backend.got) == 2)
+        await wait_until(lambda: len(backend.received) == 2)
         process.send_signal(signal.SIGTERM)
         signalled_at = anyio.current_time()
         while (await (await connect(port)).raw(READY_REQUEST)).target == "200":
@@ -125,7 +125,7 @@
 
     def behind(got: ReceivedMessage) -> bytes | None:
         if "from" not in got.target:
-            return list_reply(1, list_line(0, backend.port), whole=True)
+            return list_reply(1, list_line(0, backend.port), snapshot=True)
         return list_reply(0) if got.target.endswith("=0") else None
 
     async with running_node(tmp_path, backend) as (process, port), anyio.create_task_group() as tasks:
@@ -135,17 +135,17 @@
             await tasks.start(discovery.serve)
         busy = await connect(port)
         await busy.send("a0", "look", 900)
-        await wait_until(lambda: backend.got)
+        await wait_until(lambda: backend.received)
         for discovery, first_query in zip(discoveries, ("from=1&", "from=3&"), strict=True):
             # The second file is malformed: the address from the first one stays in force.
             for text in (json.dumps({**old, "discovery": f"127.0.0.1:{discovery.port}"}), "nonsense"):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
-                await wait_until(lambda: discovery.got)  # noqa: B023
-            assert first_query in discovery.got[0].target
-            await wait_until(lambda: any("hold_ms=750" in got.target for got in discovery.got))  # noqa: B023
+                await wait_until(lambda: discovery.received)  # noqa: B023
+            assert first_query in discovery.received[0].target
+            await wait_until(lambda: any("hold_ms=750" in got.target for got in discovery.received))  # noqa: B023
         # This discovery service is behind and cannot continue from 3, so the node asks it for a snapshot.
-        assert "from" not in discoveries[1].got[1].target
+        assert "from" not in discoveries[1].received[1].target
         assert (await busy.answer()).target == "503"  # invocations in flight are not affected
         assert (await (await connect(port)).ask("a1", "pay", body=b"x")).target == "200"
         process.send_signal(signal.SIGTERM)
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -131,7 +131,7 @@
 
 
 def test_new_idempotency_applies_to_later_invocations_only() -> None:
-    bench = FakeHost(copies=False)
+    bench = FakeHost(hedging=False)
     policy = settings.policy_arguments(SETTINGS)
     bench.send_list([entry(number) for number in range(4)])
     before = bench.submit("a", "look")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 import pytest
-from harness import COLD, OFFERINGS, Account, FakeHost, entry
+from harness import COLD, OFFERINGS, FakeHost, InvocationRecord, entry
 
 from thornladder.decide import HealthTracker
 from thornladder.interface import ListKind, Outcome, State
@@ -16,7 +16,7 @@
 def test_rules_hold_in_random_runs(seed: int) -> None:
     rng = random.Random(seed)
     nodes, most = [(2, 9), (1, 1), (400, 60)][seed % 3]
-    host = FakeHost(seed, copies=rng.random() < 0.5, probes=rng.random() < 0.5, nodes=nodes)
+    host = FakeHost(seed, hedging=rng.random() < 0.5, probes=rng.random() < 0.5, nodes=nodes)
     host.send_list([entry(n) for n in range(rng.randint(0, most))], ListKind.RESTORED)
     for step in range(600):
         chance = rng.random()
@@ -24,8 +24,8 @@
             host.submit(f"i{step}", rng.choice(OFFERINGS).name, rng.choice([None, 0.002, 0.1]))
         elif chance < 0.8 and host.open_pushes():
             host.end_push(*rng.choice(host.open_pushes()), rng.choice(list(Outcome)))
-        elif chance < 0.83 and host.accounts:
-            host.disconnect_client(rng.choice(list(host.accounts)))
+        elif chance < 0.83 and host.records:
+            host.disconnect_client(rng.choice(list(host.records)))
         elif chance < 0.88:
             state = rng.choice(list(State))
             number = rng.randrange(most + 3)
@@ -38,14 +38,14 @@
         elif chance < 0.93 and host.probes:
             host.answer_probe(host.probes.pop(), rng.choice(list(Outcome)))
         host.advance(rng.choice([0.0, 0.001, 0.02, 0.1, 0.5]))
-        for id, account in host.accounts.items():
-            if not account.final:
-                assert id in host.node.active and len(account.ended) < len(account.pushes), "left lying"
+        for id, record in host.records.items():
+            if not record.final:
+                assert id in host.node.active and len(record.outcomes) < len(record.pushes), "left lying"
     for id, number in host.open_pushes():
         host.end_push(id, number, Outcome.TIMED_OUT)
     while host.open_pushes():
         host.end_push(*host.open_pushes()[0], Outcome.CANCELLED)
-    assert all(account.final for account in host.accounts.values())
+    assert all(record.final for record in host.records.values())
     assert not host.node.active
 
 
@@ -58,8 +58,8 @@
     rng = random.Random(seed)
     start, sent = host.now, []
     for step in range(1500):
-        account = host.submit(f"i{step}", "look")
-        sent += [(host.now, 0.03) for backend, _ in account.pushes[:1] if backend == "b09"]
+        record = host.submit(f"i{step}", "look")
+        sent += [(host.now, 0.03) for backend, _ in record.pushes[:1] if backend == "b09"]
         # A typical backend has at least one core; the node keeps to its half of what two nodes may send.
         window = [cost for when, cost in sent if when > host.now - COLD.overload_window]
         capacity = max(COLD.initial_capacity, (host.now - start) / COLD.warm_up)
@@ -72,12 +72,12 @@
 def test_once_only_is_terminated_when_it_may_have_run() -> None:
     host = FakeHost()
     host.send_list([entry(n) for n in range(4)])
-    account = host.submit("a", "pay")
+    record = host.submit("a", "pay")
     host.end_push("a", 0, Outcome.ERROR)
-    assert account.final == "terminated" and len(account.pushes) == 1
-    account = host.submit("b", "pay")
+    assert record.final == "terminated" and len(record.pushes) == 1
+    record = host.submit("b", "pay")
     host.end_push("b", 0, Outcome.REJECTED)
-    assert len(account.pushes) == 2 and not account.final
+    assert len(record.pushes) == 2 and not record.final
 
 
 def test_nothing_to_push_to_is_answered_at_once() -> None:
@@ -118,21 +118,21 @@
     assert not host.log_lines and not any(b.ramp_start for b in host.node.registry.usable)
 
 
-def breaks(host: FakeHost, share: float, steps: int, dead: str = "") -> list[Account]:
+def breaks(host: FakeHost, share: float, steps: int, dead: str = "") -> list[InvocationRecord]:
     """Plays invocations of which `share` breaks off wherever it goes, and everything does on one backend."""
     chance = random.Random(11)
-    accounts = []
+    records = []
     for step in range(steps):
-        account = host.submit(f"b{len(host.accounts)}", "look" if step % 2 else "pay", tenant="")
-        accounts.append(account)
+        record = host.submit(f"b{len(host.records)}", "look" if step % 2 else "pay", tenant="")
+        records.append(record)
         host.advance(0.01)
         for id, number in host.open_pushes():
-            if host.accounts[id].pushes[number][0] == dead:
+            if host.records[id].pushes[number][0] == dead:
                 host.end_push(id, number, Outcome.UNREACHABLE)
             else:
                 broke = chance.random() < share
                 host.end_push(id, number, Outcome.CONNECTION_LOST if broke else Outcome.COMPLETED)
-    return accounts
+    return records
 
 
 def test_connections_that_break_alike_everywhere_are_neither_a_crowd_nor_dead_processes() -> None:
@@ -141,8 +141,8 @@
     host.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
     breaks(host, 0.15, 200)
     host.log_lines.clear()
-    accounts = breaks(host, 0.15, 1500)
-    assert sum(account.final == "nacked" for account in accounts) < 0.02 * len(accounts)
+    records = breaks(host, 0.15, 1500)
+    assert sum(record.final == "nacked" for record in records) < 0.02 * len(records)
     assert len(host.log_lines) <= 4, host.log_lines  # ejected and readmitted, by rare chance
     assert all(entry.weight == 100 for entry in host.node.rotation.entries)  # and never ramped for it
 
@@ -150,9 +150,9 @@
 def test_a_dead_process_is_found_among_connections_that_break_everywhere() -> None:
     host = FakeHost(nodes=1, probes=False)
     host.send_list([entry(n) for n in range(10)], ListKind.RESTORED)
-    used = Counter(account.pushes[0][0] for account in breaks(host, 0.15, 400))
+    used = Counter(record.pushes[0][0] for record in breaks(host, 0.15, 400))
     dead = used.most_common(1)[0][0]
-    met = sum(backend == dead for account in breaks(host, 0.15, 300, dead) for backend, _ in account.pushes)
+    met = sum(backend == dead for record in breaks(host, 0.15, 300, dead) for backend, _ in record.pushes)
     assert f"ejected {dead}: dead" in host.log_lines
     assert met <= HealthTracker.MAX_CONNECTION_FAILURES + 4, "its trials and the signs that it took"
 
@@ -178,9 +178,9 @@
     host, rng, held, met = FakeHost(), random.Random(6), 0, 0
     host.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
     for step in range(1500):
-        account = host.submit(f"i{step}")
+        record = host.submit(f"i{step}")
         host.advance(0.02)
-        for number, (backend, _) in enumerate(account.pushes):
+        for number, (backend, _) in enumerate(record.pushes):
             met += 1
             host.end_push(f"i{step}", number, Outcome.REJECTED if rng.random() < 0.35 else Outcome.COMPLETED)
             held += not host.node.health.pickable(host.node.registry.backends[backend], host.now + 0.02)
@@ -192,11 +192,11 @@
     host, rng, nacked, due = FakeHost(), random.Random(8), 0, []
     host.send_list([entry(n) for n in range(2)], ListKind.RESTORED)
     for step in range(1200):
-        account = host.submit(f"i{step}", "pay")
-        nacked += not account.pushes
-        if account.pushes and rng.random() < 0.1:
+        record = host.submit(f"i{step}", "pay")
+        nacked += not record.pushes
+        if record.pushes and rng.random() < 0.1:
             due.append((host.now + 0.95, f"i{step}"))
-        elif account.pushes:
+        elif record.pushes:
             host.advance(0.02)
             host.end_push(f"i{step}", 0, Outcome.COMPLETED)
         host.advance(0.03)
@@ -209,16 +209,16 @@
     host = FakeHost(probes=False)
     host.send_list([entry(n) for n in range(4)])
     host.submit("a")
-    broken = host.lose("a")
+    broken = host.fail_backend_of("a")
     for step in range(100):
-        account = host.submit(f"i{step}")
+        record = host.submit(f"i{step}")
         host.advance(0.03)
-        for number, (backend, _) in enumerate(account.pushes):
-            if number not in account.ended:
+        for number, (backend, _) in enumerate(record.pushes):
+            if number not in record.outcomes:
                 host.end_push(
                     f"i{step}", number, Outcome.REJECTED if backend == broken else Outcome.COMPLETED
                 )
-    pushes = [backend for account in host.accounts.values() for backend, _ in account.pushes]
+    pushes = [backend for record in host.records.values() for backend, _ in record.pushes]
     assert 2 <= pushes.count(broken) <= 5
 
 
@@ -238,15 +238,15 @@
     host = FakeHost(probes=False)
     host.send_list([entry(n) for n in range(8)])
     for step in range(600):
-        account = host.submit(f"i{step}")
+        record = host.submit(f"i{step}")
         host.advance(0.01)
         for number in range(9):
-            if number < len(account.pushes) and number not in account.ended:
-                gone = int(account.pushes[number][0][1:]) < 5
+            if number < len(record.pushes) and number not in record.outcomes:
+                gone = int(record.pushes[number][0][1:]) < 5
                 host.end_push(f"i{step}", number, Outcome.UNREACHABLE if gone else Outcome.COMPLETED)
-    late = [account for id, account in host.accounts.items() if int(id[1:]) >= 100]
-    assert all(account.final == "completed" for account in late)
-    assert sum(len(account.pushes) for account in late) < 1.1 * len(late)
+    late = [record for id, record in host.records.items() if int(id[1:]) >= 100]
+    assert all(record.final == "completed" for record in late)
+    assert sum(len(record.pushes) for record in late) < 1.1 * len(late)
 
 
 def test_a_flood_of_one_tenant_leaves_the_others_their_share() -> None:
@@ -258,7 +258,7 @@
         asked[tenant].append(host.submit(f"i{step}", tenant=tenant))
         host.advance(0.002)
         for id, number in host.open_pushes():
-            if host.now - host.accounts[id].pushes[number][1] > 0.006 * len(host.open_pushes()):
+            if host.now - host.records[id].pushes[number][1] > 0.006 * len(host.open_pushes()):
                 host.end_push(id, number, Outcome.COMPLETED)
     share = {t: sum(a.final == "nacked" for a in got) / len(got) for t, got in asked.items()}
     assert share["t"] > 0.3
@@ -314,29 +314,29 @@
     """Guards against a window that starts anew when the first copy turns out never to have run."""
     host = FakeHost()
     host.send_list([entry(n) for n in range(0, 12, 2)])
-    account = host.submit("a", "book")
-    while len(account.pushes) < 2:
+    record = host.submit("a", "book")
+    while len(record.pushes) < 2:
         host.advance(0.02)
     host.end_push("a", 0, Outcome.UNREACHABLE)
-    host.advance(0.31 - (host.now - account.pushes[0][1]))
+    host.advance(0.31 - (host.now - record.pushes[0][1]))
     host.end_push("a", 1, Outcome.ERROR)
-    assert len(account.pushes) == 2 and account.final == "terminated"
+    assert len(record.pushes) == 2 and record.final == "terminated"
 
 
 @pytest.mark.parametrize(("took", "least", "most"), [(0.06, 0, 8), (2.0, 80, 200)])
 def test_a_trickle_is_turned_away_only_in_an_overload(took: float, least: int, most: int) -> None:
     """Guards against rooms counted in whole pushes, of which 400 nodes have less than one each."""
-    host, rng = FakeHost(nodes=400, copies=False), random.Random(5)
+    host, rng = FakeHost(nodes=400, hedging=False), random.Random(5)
     host.send_list([entry(n) for n in range(60)])
     for step in range(5000):
         if rng.random() < 0.04:
             host.submit(f"i{step}", rng.choice(["look", "pay"]), time_left=5.0, tenant="")
         host.advance(0.01)
         for id, number in host.open_pushes():
-            if host.now - host.accounts[id].pushes[number][1] > took:
+            if host.now - host.records[id].pushes[number][1] > took:
                 host.end_push(id, number, Outcome.COMPLETED)
-    nacked = sum(account.final == "nacked" for account in host.accounts.values())
-    assert least <= nacked <= most, (nacked, len(host.accounts))
+    nacked = sum(record.final == "nacked" for record in host.records.values())
+    assert least <= nacked <= most, (nacked, len(host.records))
 
 
 def test_a_tenant_within_its_share_of_a_trickle_is_not_over_it() -> None:
@@ -362,8 +362,8 @@
     for step in range(30):
         for host in hosts:
             if burst and step % 10 == 0 and rng.random() < 0.5 or not burst and rng.random() < 0.047:
-                account = host.submit(f"i{step}")
-                reached += [(host.now, 0.03)] * len(account.pushes)
+                record = host.submit(f"i{step}")
+                reached += [(host.now, 0.03)] * len(record.pushes)
                 host.advance(0.04)
                 host.complete_all(0.01)
             host.advance(start + 0.1 * (step + 1) - host.now)
@@ -392,7 +392,7 @@
 
 def test_a_push_past_its_target_time_no_longer_fills_the_room() -> None:
     """Guards against nacks in a fleet of which a part is stuck: old pushes there say nothing of the rest."""
-    host = FakeHost(copies=False, probes=False)
+    host = FakeHost(hedging=False, probes=False)
     host.send_list([entry(n) for n in range(8)])
     host.submit("a", "pay")
     host.advance(0.2)
@@ -418,9 +418,9 @@
         host.advance(101.0 - host.now)
         for step in range(20):
             host.advance(rng.expovariate(4.0))
-            account = host.submit(f"i{step}", tenant="")
-            tried += [host.now for backend, _ in account.pushes if backend == bad]
-            for number, (backend, _) in enumerate(account.pushes):
+            record = host.submit(f"i{step}", tenant="")
+            tried += [host.now for backend, _ in record.pushes if backend == bad]
+            for number, (backend, _) in enumerate(record.pushes):
                 host.end_push(
                     f"i{step}", number, Outcome.UNREACHABLE if backend == bad else Outcome.COMPLETED
                 )
@@ -442,6 +442,6 @@
     host.node.on_list(host.now, ListKind.UNAVAILABLE, [], host.now + 0.1)
     host.advance(0.11)  # a call that fails, or a new one, does not begin the silence anew
     host.node.on_timer(host.now, "watch")
-    assert host.submit("b").final == "nacked" and not host.accounts["b"].pushes
+    assert host.submit("b").final == "nacked" and not host.records["b"].pushes
     host.send_list([entry(number) for number in range(4)])
     assert host.submit("c").pushes
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -190,13 +190,13 @@
 
     def tells(_: ReceivedMessage) -> bytes | None:
         lines = [list_line(number, peer.port) for number, peer in enumerate(bank.backends)]
-        return list_reply(next(version), *lines, whole=True)
+        return list_reply(next(version), *lines, snapshot=True)
 
     plant = Plant(every, node_only if owner in (h11.Connection, SocketStream) else lambda: True)
     monkeypatch.setattr(owner, name, plant.into(getattr(owner, name)))
     if name == "seconds_since_last_data":
         monkeypatch.setattr(EventLoopLag, "is_late", True)  # it is asked only then
-    bank = Rough(answer, answer, answer, sockets=60, tells=tells)
+    bank = Rough(answer, answer, answer, sockets=60, list_answer=tells)
     async with bank:
         await crowd(bank)
         if not plant.raised:  # what comes only with many idle connections, or with time
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -160,11 +160,11 @@
                 while (await call(admin, "GET", "/status"))[1]["maintenance"] != ["s1"]:
                     await anyio.sleep(0.02)
         old.kill()
-        count = len(platform.backends[1].got)
+        count = len(platform.backends[1].received)
         for number in range(8):
             answer = await (await platform.client()).ask(f"a{number}", "look")
             assert answer.target == "200"
-        assert len(platform.backends[1].got) == count
+        assert len(platform.backends[1].received) == count
 
 
 async def test_a_node_is_ready_while_one_of_its_processes_leaves_and_another_serves(tmp_path: Path) -> None:
