--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -42,12 +42,12 @@
 
 
 async def test_status_is_503_until_the_list_is_known() -> None:
-    async with LoopbackCluster(done, tells=lambda _: None) as cluster:
+    async with LoopbackCluster(done, list_answer=lambda _: None) as cluster:
         status, payload = await cluster.call("GET", "/status")
         assert (status, payload["ready"]) == (503, False)
         cluster.discovery.answer = lambda got: list_reply(1) if got.target.endswith("=0") else None
         await cluster.discovery.streams[0].aclose()
-        await wait_until(lambda: len(cluster.discovery.got) >= 3)
+        await wait_until(lambda: len(cluster.discovery.received) >= 3)
         status, payload = await cluster.call("GET", "/status")
         assert (status, payload["ready"], payload["backends"]) == (200, True, 1)
 
@@ -139,27 +139,27 @@
         for number in range(8):
             await cluster.ask(f"a{number}", "look")
         backend = cluster.backends[0]
-        assert backend.got
+        assert backend.received
         for _ in range(2):  # entered twice, left once
             assert await cluster.call("POST", "/maintenance/enter", body("s0")) == (
                 200,
                 {"host": "s0", "maintenance": True},
             )
         await wait_until(lambda: backend.closed == backend.opened)  # idle connections were closed
-        count = len(backend.got)
+        count = len(backend.received)
         # Discovery lists it as running and restarted meanwhile.
         relisted = {**list_line(0, backend.port), "startedAtMs": 1}
         cluster.discovery.answer = lambda got: list_reply(2, relisted) if "from=1&" in got.target else None
         await cluster.discovery.streams[-1].aclose()
-        await wait_until(lambda: any("from=2&" in got.target for got in cluster.discovery.got))
+        await wait_until(lambda: any("from=2&" in got.target for got in cluster.discovery.received))
         for number in range(8):
             assert (await cluster.ask(f"b{number}", "look")).target == "200"
-        assert len(backend.got) == count
+        assert len(backend.received) == count
         assert (await cluster.call("POST", "/maintenance/exit", body("s0")))[0] == 200
 
         async def wait_until_used() -> None:
             number = 0
-            while not any(got.target == "/look" for got in backend.got[count:]):
+            while not any(got.target == "/look" for got in backend.received[count:]):
                 number += 1
                 await cluster.ask(f"c{number}", "look")
                 await anyio.sleep(0.01)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -160,11 +160,11 @@
                 while (await call(admin, "GET", "/status"))[1]["maintenance"] != ["s1"]:
                     await anyio.sleep(0.02)
         old.kill()
-        count = len(processes.backends[1].got)
+        count = len(processes.backends[1].received)
         for number in range(8):
             answer = await (await processes.client()).ask(f"a{number}", "look")
             assert answer.target == "200"
-        assert len(processes.backends[1].got) == count
+        assert len(processes.backends[1].received) == count
 
 
 async def test_node_stays_ready_while_one_process_leaves_and_another_serves(tmp_path: Path) -> None:
