--- a/thornladder/node/flow.py
+++ b/thornladder/node/flow.py
@@ -1,4 +1,4 @@
-"""A large body on its way through this node: one side gives parts, the other takes them, nothing piles up."""
+"""Streaming of large bodies through the node, with backpressure from the reader to the sender."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 
 from thornladder.node import streams
 
-BODY_PIPE_BYTES = (
-    256 * 1024
-)  # bytes that a flow is counted with: a part here, one in each transport, as much in h11
-KERNEL_BUFFER_BYTES = 64 * 1024  # bytes that the kernel may hold of a flow on each side
+# Memory counted for one streamed body: a part here, one in each transport, and as much again in h11.
+BODY_PIPE_BYTES = 256 * 1024
+KERNEL_BUFFER_BYTES = 64 * 1024  # for a streamed body, in each direction of each of its sockets
 
 
 class BodyPipe:
-    """Holds one part. Whoever gives says at the end whether that was all; either side may leave."""
+    """Passes a body from a producer to a consumer, one part at a time; either side may leave early."""
 
     def __init__(self) -> None:
         self._sender, self._receiver = anyio.create_memory_object_stream[bytes](0)
-        self.complete = False
-        self.producer_scope: anyio.CancelScope | None = None  # of the task that gives, ended with the taker
+        self.complete = False  # whether the producer has sent the whole body
+        self.producer_scope: anyio.CancelScope | None = None  # cancelled when the consumer leaves
 
     async def send(self, part: bytes) -> bool:
-        """Waits until the part is taken; False if nobody takes any more."""
+        """Waits until the consumer takes the part; returns False if it has left."""
         try:
             await self._sender.send(part)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             return False
         return True
 
-    def finish(self, whole: bool) -> None:
-        self.complete = self.complete or whole
+    def finish(self, complete: bool) -> None:
+        """Ends the body on the producer's side; `complete` is False for a truncated one."""
+        self.complete = self.complete or complete
         self._sender.close()
 
     async def parts(self) -> AsyncIterator[bytes]:
+        """Yields the parts until the producer finishes or the pipe is aborted."""
         with suppress(anyio.EndOfStream, anyio.ClosedResourceError):
             while True:
                 yield await self._receiver.receive()
 
     def abort(self) -> None:
-        """Takes nothing more."""
+        """Ends the pipe on the consumer's side and cancels the producer."""
         self._receiver.close()
         self._sender.close()
         if self.producer_scope is not None:
@@ -51,8 +52,8 @@
 
 
 def limit_kernel_buffers(stream: SocketStream) -> None:
-    """Little of a flow waits in the kernel: it counts as this node's memory there, too."""
+    """Shrinks the kernel's buffers of a streamed body: the node is charged for their memory, too."""
     with suppress(Exception):
-        raw = streams.raw_socket(stream)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER_BYTES)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
+        raw_socket = streams.raw_socket(stream)
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER_BYTES)
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
--- a/thornladder/node/messages.py
+++ b/thornladder/node/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages to and from small typed values, decoded once and encoded once. PROTOCOL's words end here."""
+"""Decodes HTTP messages into typed values and encodes them; the wire protocol's names are used only here."""
 
 from __future__ import annotations
 
@@ -15,45 +15,47 @@
 from thornladder.node.flow import BodyPipe
 from thornladder.settings import Address, parse_address, parse_load_report
 
-MAX_BUFFERED_BYTES = 64 * 1024  # bytes: bodies up to here are kept whole, larger ones flow through
-MAX_BODY_BYTES = 33 * 1024 * 1024  # bytes: 32 MB, and what anybody may mean by that
+MAX_BUFFERED_BYTES = 64 * 1024  # bodies up to this size are buffered, larger ones streamed
+MAX_BODY_BYTES = 33 * 1024 * 1024  # covers 32 MB in every common meaning of the unit
 Headers = list[tuple[bytes, bytes]]
 
 READY_PATH, LIVE_PATH, LOAD_PATH = b"/health/ready", b"/health/live", b"/stats"
 LIST_PATH = "/registry/instances"
-STATES = {"in_service": api.State.RUNNING, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
-# They belong to one connection, or are written anew on the next.
-_OWN_TO_A_CONNECTION = frozenset(
+_STATES = {"in_service": api.State.RUNNING, "terminating": api.State.DRAINING, "terminated": api.State.GONE}
+# Hop-by-hop headers, and those that are written anew for the next hop.
+_NOT_FORWARDED = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"content-length", b"expect", b"x-budget-ms")
 )  # fmt: skip
-_ID = re.compile(rb"[\x21-\x7e]{1,128}")
-_LENGTH = re.compile(rb"\n(?i:content-length)[ \t]*:[ \t]*([^\r\n]*)")
-_READ_HERE = (b"x-call-id", b"x-budget-ms", b"x-caller", b"x-again", b"transfer-encoding")
-_KEY = re.compile(rb"(?:^|&)key=([0-9a-fA-F]{1,16})(?:&|$)")
+_CALL_ID = re.compile(rb"[\x21-\x7e]{1,128}")
+_CONTENT_LENGTH = re.compile(rb"\n(?i:content-length)[ \t]*:[ \t]*([^\r\n]*)")
+_UNIQUE_HEADERS = (b"x-call-id", b"x-budget-ms", b"x-caller", b"x-again", b"transfer-encoding")
+_KEY_PARAMETER = re.compile(rb"(?:^|&)key=([0-9a-fA-F]{1,16})(?:&|$)")
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """What goes on to a backend as it came."""
+    """A request to a backend: a client's, forwarded without its hop-by-hop headers, or a probe."""
 
     method: bytes
     target: bytes
     headers: Headers
-    body: bytes  # of one that flows what has come of it so far
+    body: bytes  # if it is streamed, the part received so far
     body_pipe: BodyPipe | None = None
-    length: int | None = None  # bytes in all, where the flow's sender told
+    length: int | None = None  # of a streamed body, in bytes; None if the sender gave none
 
 
 @dataclass(frozen=True, slots=True)
 class BadRequest:
-    """What a client sent cannot be taken."""
+    """A client's request that is rejected, with the status and text of the response."""
 
     status: int
     message: str
 
 
 class FinalOutcome(Enum):
+    """How an invocation ended for its client."""
+
     COMPLETED = "completed"
     NACKED = "nacked"
     TERMINATED = "terminated"
@@ -61,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """The final answer to an invocation."""
+    """The final response to an invocation; headers and body are those of a completed one."""
 
     outcome: FinalOutcome
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # seconds, of a nack; 0: not sent
     headers: Headers | None = None
     body: bytes = b""
     body_pipe: BodyPipe | None = None
@@ -73,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """What came back on a connection on which this node asked."""
+    """A response to a request of this node, from a backend or from discovery."""
 
     status: int
     headers: Headers
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryResponse:
-    """What discovery has told."""
+    """An answer from discovery: the whole backend list, or its changes since a version."""
 
     version: int | None
     kind: api.ListKind
@@ -92,113 +94,131 @@
     addresses: dict[str, Address]
 
 
-def _passed_on(headers: Headers) -> Headers:
-    return [(name, value) for name, value in headers if name not in _OWN_TO_A_CONNECTION]
+def _forwarded_headers(headers: Headers) -> Headers:
+    return [(name, value) for name, value in headers if name not in _NOT_FORWARDED]
 
 
 # Clients.
 
 
 def check_head(request: h11.Request, head: bytes) -> BadRequest | None:
-    """What is wrong with a head that h11 lets by; `head` is how it came.
+    """Checks a request head that h11 accepts for ambiguities; `head` is its raw bytes.
 
-    Guards against a message that ends elsewhere for a backend than for this node, and against a field that
-    each of them reads another line of.
+    Rejects what a backend could frame differently (request smuggling), and repeated headers of which it could
+    read another one than this node does.
     """
     names = [name for name, _ in request.headers]
-    lengths = [value.strip() for value in _LENGTH.findall(head)]
+    lengths = [value.strip() for value in _CONTENT_LENGTH.findall(head)]
     if lengths and b"transfer-encoding" in names:
         return BadRequest(400, "Content-Length and Transfer-Encoding")
     if len(lengths) > 1 or not all(value.isdigit() for value in lengths):
         return BadRequest(400, "more than one Content-Length")
     if lengths and int(lengths[0]) > MAX_BODY_BYTES:
         return BadRequest(413, "the body is too long")
-    twice = next((name for name in _READ_HERE if names.count(name) > 1), None)
-    return BadRequest(400, f"more than one {twice.decode()}") if twice else None
+    repeated = next((name for name in _UNIQUE_HEADERS if names.count(name) > 1), None)
+    return BadRequest(400, f"more than one {repeated.decode()}") if repeated else None
 
 
 def decode_invocation(
-    request: h11.Request, body: bytes, offerings: Mapping[str, api.Offering], flow: BodyPipe | None = None
+    request: h11.Request,
+    body: bytes,
+    offerings: Mapping[str, api.Offering],
+    body_pipe: BodyPipe | None = None,
 ) -> tuple[api.Invocation, UpstreamRequest] | BadRequest:
+    """Decodes a request for an invocation; `body_pipe` is set if the rest of its body is streamed."""
     headers = list(request.headers)
-    found = dict(headers)
+    header_values = dict(headers)
     path, _, query = request.target.partition(b"?")
     name = path.split(b"/", 2)[1].decode("ascii", "replace") if path.startswith(b"/") else ""
     offering = offerings.get(name)
     if offering is None:
         return BadRequest(404, "unknown offering")
-    id = found.get(b"x-call-id", b"")
-    if not _ID.fullmatch(id):
+    call_id = header_values.get(b"x-call-id", b"")
+    if not _CALL_ID.fullmatch(call_id):
         return BadRequest(400, "X-Call-Id is missing or malformed")
-    budget = found.get(b"x-budget-ms")
+    budget = header_values.get(b"x-budget-ms")
     if budget is not None and not (budget.isdigit() and len(budget) <= 9):
         return BadRequest(400, "X-Budget-Ms must be whole milliseconds")
     invocation = api.Invocation(
-        id=id.decode(),
+        id=call_id.decode(),
         offering=name,
-        tenant=found.get(b"x-caller", b"").decode("latin-1"),
+        tenant=header_values.get(b"x-caller", b"").decode("latin-1"),
         time_left=time_left(budget, offering),
-        key=_key(query),
-        is_retry=found.get(b"x-again") == b"1",
-        streaming=flow is not None,
+        key=_parse_key(query),
+        is_retry=header_values.get(b"x-again") == b"1",
+        streaming=body_pipe is not None,
+    )
+    length = (
+        int(header_values[b"content-length"])
+        if body_pipe is not None and b"content-length" in header_values
+        else None
     )
-    length = int(found[b"content-length"]) if flow is not None and b"content-length" in found else None
     return invocation, UpstreamRequest(
-        request.method, request.target, _passed_on(headers), body, flow, length
+        request.method, request.target, _forwarded_headers(headers), body, body_pipe, length
     )
 
 
 def time_left(budget: bytes | None, offering: api.Offering) -> float:
-    """Seconds that a client gives, by what it says (milliseconds in digits) and at most by the offering."""
+    """Returns the client's time in seconds: `budget` (milliseconds in digits), capped by the cut-off."""
     return offering.cut_off if budget is None else min(int(budget) / 1000.0, offering.cut_off)
 
 
-def _key(query: bytes) -> int | None:
-    found = _KEY.search(query)
-    return int(found[1], 16) if found else None
+def _parse_key(query: bytes) -> int | None:
+    match = _KEY_PARAMETER.search(query)
+    return int(match[1], 16) if match else None
 
 
-def encode_client_response(answer: ClientResponse, closing: bool) -> tuple[h11.Response, bytes]:
+def encode_client_response(response: ClientResponse, closing: bool) -> tuple[h11.Response, bytes]:
+    """Encodes the head of a final response; `closing`: it is the last on its connection."""
     headers: Headers = []
-    body = answer.body
-    if answer.outcome is FinalOutcome.COMPLETED:
+    body = response.body
+    if response.outcome is FinalOutcome.COMPLETED:
         status = 200
-        headers += _passed_on(answer.headers or [])
-    elif answer.outcome is FinalOutcome.NACKED:
+        headers += _forwarded_headers(response.headers or [])
+    elif response.outcome is FinalOutcome.NACKED:
         status, body = 503, b"nacked\n"
-        if answer.retry_after > 0.0:
-            headers.append((b"Retry-After", b"%.3f" % answer.retry_after))
+        if response.retry_after > 0.0:
+            headers.append((b"Retry-After", b"%.3f" % response.retry_after))
     else:
         status, body = 502, b"terminated\n"
-    return encode_response(status, headers, body, closing, answer.body_pipe is not None, answer.length)
+    return encode_response(status, headers, body, closing, response.body_pipe is not None, response.length)
 
 
-def encode_text_response(status: int, words: str, closing: bool) -> tuple[h11.Response, bytes]:
-    """An answer that concerns no invocation: readiness, bad input."""
-    return encode_response(status, [(b"Content-Type", b"text/plain")], words.encode() + b"\n", closing)
+def encode_text_response(status: int, text: str, closing: bool) -> tuple[h11.Response, bytes]:
+    """Encodes a response that concerns no invocation: to a health check or a bad request."""
+    return encode_response(status, [(b"Content-Type", b"text/plain")], text.encode() + b"\n", closing)
 
 
 def encode_response(
-    status: int, headers: Headers, body: bytes, closing: bool, flows: bool = False, length: int | None = None
+    status: int,
+    headers: Headers,
+    body: bytes,
+    closing: bool,
+    streaming: bool = False,
+    length: int | None = None,
 ) -> tuple[h11.Response, bytes]:
-    if not flows or length is not None:  # without a length it goes in chunks, or ends with its connection
+    """Returns a response head, with its framing headers added to `headers`, and its body."""
+    if not streaming or length is not None:  # without a length it is chunked, or ends with its connection
         headers.append((b"Content-Length", b"%d" % (len(body) if length is None else length)))
     if closing:
         headers.append((b"Connection", b"close"))
-    return h11.Response(status_code=status, headers=headers, reason=_REASONS.get(status, b"")), body
+    return h11.Response(status_code=status, headers=headers, reason=_REASON_PHRASES.get(status, b"")), body
 
 
 def encode_nack(retry_after: float, closing: bool) -> bytes:
-    """A nack as it goes out, for those that are given no more than that."""
-    when = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""
-    end = b"Connection: close\r\n" if closing else b""
-    return b"HTTP/1.1 503 Service Unavailable\r\n%s%sContent-Length: 7\r\n\r\nnacked\n" % (when, end)
+    """Encodes a whole nack as raw bytes, for requests that are shed before h11 parses them."""
+    retry_after_line = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""
+    connection_line = b"Connection: close\r\n" if closing else b""
+    return b"HTTP/1.1 503 Service Unavailable\r\n%s%sContent-Length: 7\r\n\r\nnacked\n" % (
+        retry_after_line,
+        connection_line,
+    )
 
 
-# A termination in words that cannot fail.
+# Sent when encoding a response fails.
 FALLBACK_RESPONSE = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-_REASONS = {
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -215,42 +235,45 @@
 
 HEALTH_PROBE = UpstreamRequest(b"GET", LIVE_PATH, [], b"")
 LOAD_PROBE = UpstreamRequest(b"GET", LOAD_PATH, [], b"")
-MAX_LOAD_REPORT_BYTES = 4096  # bytes: a load report holds four values at most
+MAX_LOAD_REPORT_BYTES = 4096  # a load report holds at most four values
 
 
-def encode_push(message: UpstreamRequest, time_left: float, host: str) -> h11.Request:
-    headers = list(message.headers)
+def encode_push(request: UpstreamRequest, time_left: float, host: str) -> h11.Request:
+    """Encodes a push; `time_left` (seconds) is sent as the backend's time budget."""
+    headers = list(request.headers)
     if not any(name == b"host" for name, _ in headers):
-        headers.append((b"Host", host.encode()))  # an older client sent none
+        headers.append((b"Host", host.encode()))  # HTTP/1.0 clients may send none
     headers.append((b"X-Budget-Ms", b"%d" % max(int(time_left * 1000.0), 1)))
-    if message.body_pipe is not None and message.length is None:
+    if request.body_pipe is not None and request.length is None:
         headers.append((b"Transfer-Encoding", b"chunked"))
-    elif message.body_pipe is not None:
-        headers.append((b"Content-Length", b"%d" % message.length))
-    elif message.body or message.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
-        headers.append((b"Content-Length", b"%d" % len(message.body)))
-    return h11.Request(method=message.method, target=message.target, headers=headers)
+    elif request.body_pipe is not None:
+        headers.append((b"Content-Length", b"%d" % request.length))
+    elif request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
+        headers.append((b"Content-Length", b"%d" % len(request.body)))
+    return h11.Request(method=request.method, target=request.target, headers=headers)
 
 
-def outcome_of(reply: UpstreamResponse) -> api.Outcome:
-    if reply.status == 200:
+def outcome_of(response: UpstreamResponse) -> api.Outcome:
+    """Classifies a backend's response to a push."""
+    if response.status == 200:
         return api.Outcome.COMPLETED
-    if reply.status in (503, 504) and (b"x-rejected", b"1") in reply.headers:
+    if response.status in (503, 504) and (b"x-rejected", b"1") in response.headers:
         return api.Outcome.REJECTED
     return api.Outcome.ERROR
 
 
 def decode_load_report(body: bytes) -> api.LoadReport:
-    """The load report in a probe's answer; what cannot be read tells nothing and ends nothing."""
+    """Decodes the load report in a probe's response; an invalid one gives `NO_REPORT`."""
     try:
         return parse_load_report(parse_object(body) if len(body) <= MAX_LOAD_REPORT_BYTES else None)
     except MalformedError:
         return api.NO_REPORT
 
 
-def completed_response(reply: UpstreamResponse) -> ClientResponse:
+def completed_response(response: UpstreamResponse) -> ClientResponse:
+    """Returns the final response that forwards a backend's to the client."""
     return ClientResponse(
-        FinalOutcome.COMPLETED, 0.0, reply.headers, reply.body, reply.body_pipe, reply.length
+        FinalOutcome.COMPLETED, 0.0, response.headers, response.body, response.body_pipe, response.length
     )
 
 
@@ -258,36 +281,38 @@
 
 
 def encode_list_request(host: str, version: int | None, wait: float) -> h11.Request:
+    """Encodes a request for the backend list: a long poll of `wait` seconds if a `version` is known."""
     target = LIST_PATH if version is None else f"{LIST_PATH}?from={version}&hold_ms={round(wait * 1000.0)}"
     return h11.Request(method=b"GET", target=target.encode(), headers=[(b"Host", host.encode())])
 
 
-# A node that never had a list asks for the whole one.
+# The state of a node that has never had a list: it requests the whole one.
 EMPTY_LIST = DiscoveryResponse(None, api.ListKind.SNAPSHOT, [], {})
 
 
 def decode_list(body: bytes | dict[str, Any]) -> DiscoveryResponse:
-    message = parse_object(body) if isinstance(body, bytes) else body
-    whole = get_field(message, "reset", bool, False)
-    answer = DiscoveryResponse(
-        version=get_field(message, "generation", int),
-        kind=api.ListKind.SNAPSHOT if whole else api.ListKind.DELTA,
+    """Decodes an answer from discovery. Raises MalformedError."""
+    document = parse_object(body) if isinstance(body, bytes) else body
+    is_snapshot = get_field(document, "reset", bool, False)
+    response = DiscoveryResponse(
+        version=get_field(document, "generation", int),
+        kind=api.ListKind.SNAPSHOT if is_snapshot else api.ListKind.DELTA,
         entries=[],
         addresses={},
     )
-    for line in get_objects(message, "instances"):
-        id = get_field(line, "instanceId", str)
-        started = get_field(line, "startedAtMs", int, 0)
+    for instance in get_objects(document, "instances"):
+        instance_id = get_field(instance, "instanceId", str)
+        started_at_ms = get_field(instance, "startedAtMs", int, 0)
         entry = api.Entry(
-            backend=id,
-            state=get_choice(STATES, line, "lifecycle"),
-            zone=get_field(line, "zone", str, ""),
-            cell=get_field(line, "cell", int, 0),
-            weight=get_optional(line, "weight", float),
-            started_at=started / 1000.0 if started else None,
-            machine=get_field(line, "machineType", str, ""),
+            backend=instance_id,
+            state=get_choice(_STATES, instance, "lifecycle"),
+            zone=get_field(instance, "zone", str, ""),
+            cell=get_field(instance, "cell", int, 0),
+            weight=get_optional(instance, "weight", float),
+            started_at=started_at_ms / 1000.0 if started_at_ms else None,
+            machine=get_field(instance, "machineType", str, ""),
         )
-        answer.entries.append(entry)
+        response.entries.append(entry)
         if entry.state is not api.State.GONE:
-            answer.addresses[id] = parse_address(get_field(line, "hostPort", str))
-    return answer
+            response.addresses[instance_id] = parse_address(get_field(instance, "hostPort", str))
+    return response
--- a/thornladder/node/streams.py
+++ b/thornladder/node/streams.py
@@ -1,4 +1,4 @@
-"""What both sides need of a TCP stream."""
+"""Helpers for TCP streams, used by the clients' and the backends' side of a node."""
 
 from __future__ import annotations
 
@@ -13,62 +13,64 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-MAX_READ_BYTES = 256_000  # bytes that the event loop reads at most in one go
-# The other side has ended the stream, or this one has.
+MAX_READ_BYTES = 256_000  # the most that the event loop reads at once
+# Raised where either side has closed the stream.
 STREAM_CLOSED_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 async def close(stream: SocketStream) -> None:
-    """Ends both directions; when this returns nothing more goes out. An error on the way is nobody's."""
+    """Closes both directions; nothing more is sent once this returns. Errors are ignored."""
     with anyio.CancelScope(shield=True):
         try:
             await stream.aclose()
         except Exception:
-            # Most likely the socket is gone already.
-            with suppress(Exception), socket.socket(fileno=os.dup(_descriptor(stream))) as same:
-                same.shutdown(socket.SHUT_RDWR)
+            # Most likely the socket is closed already; if not, this ends the connection.
+            with suppress(Exception), socket.socket(fileno=os.dup(_fileno(stream))) as duplicate:
+                duplicate.shutdown(socket.SHUT_RDWR)
 
 
-def _descriptor(stream: SocketStream) -> int:
+def _fileno(stream: SocketStream) -> int:
     return raw_socket(stream).fileno()
 
 
 class BodyBudget:
-    """Bytes of large bodies on their way through this node's memory.
+    """Limits the memory, in bytes, that streamed bodies occupy in this node.
 
-    Guards against a crowd of them, or of sides that take them slowly, that outgrows the memory.
+    Without it many large bodies, or slow readers of them, would exhaust the memory.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit, self.used = limit, 0
-        self.over: object | None = None  # who goes past the most: one at a time, so that no two wait for ever
-        self.freed = anyio.Event()
+        # The one holder that may exceed the limit, so that holders cannot deadlock on each other.
+        self.overdraft_holder: object | None = None
+        self.released = anyio.Event()
 
     async def acquire(self, size: int, holder: object) -> None:
-        """Waits until `size` bytes more are bearable, or nobody else goes past that; and counts them.
+        """Reserves `size` bytes, waiting until they fit the limit or no other holder exceeds it.
 
-        Guards against several that hold a part each, none of which can be had whole.
+        One holder may exceed the limit: otherwise several with a part each could all wait forever.
         """
-        while self.used + size > self.limit and self.over not in (None, holder):
-            await self.freed.wait()
+        while self.used + size > self.limit and self.overdraft_holder not in (None, holder):
+            await self.released.wait()
         if self.used + size > self.limit:
-            self.over = holder
+            self.overdraft_holder = holder
         self.used += size
 
     def release(self, size: int, holder: object = None) -> None:
-        if self.over is holder:
-            self.over = None
+        """Returns `size` bytes, and the holder's right to exceed the limit."""
+        if self.overdraft_holder is holder:
+            self.overdraft_holder = None
         if size:
             self.used -= size
-            self.freed.set()
-            self.freed = anyio.Event()
+            self.released.set()
+            self.released = anyio.Event()
 
 
 class SingleReadProtocol(asyncio.Protocol):
-    """Hands one read of a transport on, then reads no more until that is asked for.
+    """Wraps a transport's protocol and pauses reading after each read, until the reader asks for more.
 
-    Guards against bodies that pile up in the library's queue: the event loop reads up to 32 times in one go,
-    and a connection that was taken over reads on and on as long as its reader never has to wait.
+    Keeps bodies from piling up in anyio's queue: the event loop would read up to 32 times in a row, and a
+    connection whose reader never has to wait is never paused.
     """
 
     def __init__(self, transport: asyncio.Transport) -> None:
@@ -82,7 +84,7 @@
 
 
 def limit_reads(stream: SocketStream) -> SocketStream:
-    """The same stream, that holds what one read of at most `READ` bytes brought, whoever sends how fast."""
+    """Makes `stream` queue no more than one read of at most `MAX_READ_BYTES`; returns the same stream."""
     transport = getattr(stream, "_transport", None)
     if transport is not None and not transport.is_closing():
         transport.set_protocol(SingleReadProtocol(transport))
@@ -91,10 +93,10 @@
 
 
 def try_write(stream: SocketStream, data: bytes) -> bool:
-    """Hands over a few bytes without waiting; False if that cannot be done here, and nothing was.
+    """Writes a few bytes without waiting; returns False, with nothing written, if that is not possible.
 
-    The library's own way costs a turn of the event loop for each. It is what that does, less the turn: the
-    transport takes what is given to it, and keeps what the kernel does not take at once.
+    Does what anyio's `send` does without its turn of the event loop: the transport buffers what the kernel
+    does not take at once.
     """
     transport = getattr(stream, "_transport", None)
     if transport is None or transport.is_closing() or transport.get_write_buffer_size():
@@ -103,44 +105,45 @@
     return True
 
 
-# Where the kernel's record of a connection tells how many milliseconds ago data came last.
-_LAST_DATA = struct.Struct("52xI")
+# `tcpi_last_data_recv` in Linux's `struct tcp_info`: milliseconds since data was last received.
+_LAST_DATA_RECEIVED = struct.Struct("52xI")
 
 
 def seconds_since_last_data(connection: socket.socket) -> float:
-    """Seconds since bytes last came on a TCP connection; 0 where the kernel does not tell.
+    """Returns the seconds since a TCP connection last received data; 0 where the kernel does not say.
 
-    For a message that is read only now this is how long it has waited: no clock of the node's own sees that.
+    For a message that is only now being read this is its queueing time, which the node cannot measure itself.
     """
     try:
-        record = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA.size)
-        return _LAST_DATA.unpack(record)[0] / 1000.0
+        tcp_info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA_RECEIVED.size)
+        return _LAST_DATA_RECEIVED.unpack(tcp_info)[0] / 1000.0
     except (OSError, AttributeError, struct.error, TypeError):
         return 0.0
 
 
 def raw_socket(stream: SocketStream) -> socket.socket:
+    """Returns the socket below `stream`."""
     return stream.extra(SocketAttribute.raw_socket)
 
 
 def peer_closed(stream: SocketStream) -> bool:
-    """Whether the other side has closed, reset or half closed it, whatever lies unread before that.
+    """Whether the other side has closed, half-closed or reset the stream, even behind unread data.
 
-    What cannot be looked at counts as there: its end is read as ever.
+    False if the socket cannot be inspected: reading from it will show the end.
     """
-    events = _events(stream, select.POLLIN | select.POLLRDHUP)
+    events = _poll_events(stream, select.POLLIN | select.POLLRDHUP)
     if not events:
         return False
     if events & (select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL):
         return True
-    # Where the end itself is not told apart from bytes it shows as nothing to read.
+    # Where poll does not distinguish the end of the stream from data, peeking reads nothing.
     try:
-        same = socket.socket(fileno=os.dup(_descriptor(stream)))
+        duplicate = socket.socket(fileno=os.dup(_fileno(stream)))
     except OSError:
-        return False  # no descriptor to spare
-    with same:
+        return False  # out of file descriptors
+    with duplicate:
         try:
-            return not same.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            return not duplicate.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:
@@ -148,20 +151,20 @@
 
 
 def has_unread_data(stream: SocketStream) -> bool:
-    """Whether the kernel holds bytes, or the end, that nobody has read yet; also where it cannot be asked."""
-    return _events(stream, select.POLLIN) != 0
+    """Whether the kernel holds unread data or the end of the stream; True if it cannot be inspected."""
+    return _poll_events(stream, select.POLLIN) != 0
 
 
-def _events(stream: SocketStream, asked: int) -> int | None:
-    """What the kernel has to say of a stream's socket as of now; 0: nothing, None: it cannot be asked."""
+def _poll_events(stream: SocketStream, event_mask: int) -> int | None:
+    """Polls the stream's socket without waiting; returns 0 for no events, None if it cannot be inspected."""
     try:
-        descriptor = _descriptor(stream)
+        descriptor = _fileno(stream)
     except Exception:
-        # Guards against the end of the node: the event loop has let go of a socket that is being closed, and
-        # asking for it fails in ways that are the event loop's own (incident: AttributeError in accepting).
+        # The event loop drops a socket that is being closed, and looking it up then fails with errors of the
+        # loop's own (incident: an AttributeError ended the accepting task, and with it the node).
         return None
     if descriptor < 0:
         return 0
-    watch = select.poll()
-    watch.register(descriptor, asked)
-    return sum(events for _, events in watch.poll(0))
+    poller = select.poll()
+    poller.register(descriptor, event_mask)
+    return sum(events for _, events in poller.poll(0))
