--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests on an event loop run on."""
+"""Fixtures for tests that run on an event loop."""
 
 from __future__ import annotations
 
@@ -7,4 +7,4 @@
 
 @pytest.fixture
 def anyio_backend() -> tuple[str, dict]:
-    return "asyncio", {"use_uvloop": True}  # as the program does
+    return "asyncio", {"use_uvloop": True}  # as in production
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of pushes beyond the first, and lists that do not prove who serves."""
+"""The retry budget, and soft removal: lists that do not prove which backends serve."""
 
 from __future__ import annotations
 
@@ -19,52 +19,56 @@
 from thornladder.interface import Entry, ListKind, Outcome, RetryBudgetRule, State
 
 
-class Exact:
-    """The rule as the users word it, on records of every single event, in whole microseconds."""
+class ExactBudget:
+    """An exact implementation of the rule on records of every event, in whole microseconds."""
 
-    def __init__(self, few: float, share: float, span: float) -> None:
-        self.few, self.share, self.span = Fraction(str(few)), Fraction(str(share)), round(span * 1e6)
+    def __init__(self, floor: float, ratio: float, window: float) -> None:
+        self.floor, self.ratio, self.window = Fraction(str(floor)), Fraction(str(ratio)), round(window * 1e6)
         self.invocations: deque[int] = deque()
         self.extra_pushes: deque[int] = deque()
 
-    def breaks(self, now: int) -> bool:
-        """Takes in one push more; whether it was one too many. A window holds what is under a span old for
-        what is taken and up to a span for what is pushed, whichever way the users mean its edge."""
+    def add_push(self, now: int) -> bool:
+        """Count one more push; return whether it was one too many.
+
+        The window's edge is read in the strictest way: it includes pushes but excludes invocations.
+        """
         self.extra_pushes.append(now)
-        while self.extra_pushes[0] < now - self.span:
+        while self.extra_pushes[0] < now - self.window:
             self.extra_pushes.popleft()
-        while self.invocations and self.invocations[0] <= now - self.span:
+        while self.invocations and self.invocations[0] <= now - self.window:
             self.invocations.popleft()
-        return len(self.extra_pushes) > self.few + self.share * len(self.invocations)
+        return len(self.extra_pushes) > self.floor + self.ratio * len(self.invocations)
 
 
 RULES = [(2.0, 0.15, 10.0), (0.0, 0.3, 0.1), (3.0, 0.0, 5.0), (1.0, 1.0, 0.000037), (0.5, 0.07, 7.000001)]
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_never_more_than_the_exact_count_over_a_million_events(rule: tuple[float, float, float]) -> None:
-    """Two hundred thousand for each rule, with bursts round the edges of windows and of slices."""
-    chance, exact, budget = random.Random(7), Exact(*rule), RetryBudget(RetryBudgetRule(*rule))
-    span, now, allowed = round(rule[2] * 1e6), 8_412_250, 0
+def test_never_allows_more_than_the_exact_count_over_a_million_events(
+    rule: tuple[float, float, float],
+) -> None:
+    """200,000 events for each rule, with bursts around the edges of windows and slots."""
+    rng, exact, budget = random.Random(7), ExactBudget(*rule), RetryBudget(RetryBudgetRule(*rule))
+    window, now, allowed = round(rule[2] * 1e6), 8_412_250, 0
     edges = deque([now], maxlen=4)
     for _ in range(200_000):
-        if chance.random() < 0.02:
-            now = max(now, chance.choice(edges) + span + chance.randint(-2, 2))
+        if rng.random() < 0.02:
+            now = max(now, rng.choice(edges) + window + rng.randint(-2, 2))
             edges.append(now)
-        elif chance.random() < 0.3:
-            now += chance.choice((1, span // 640 + 1, span // 64 + 1, span // 9 + 1))
-        if chance.random() < 0.7:
+        elif rng.random() < 0.3:
+            now += rng.choice((1, window // 640 + 1, window // 64 + 1, window // 9 + 1))
+        if rng.random() < 0.7:
             exact.invocations.append(now)
             budget.invocations.add(1, now / 1e6, now / 1e6)
         elif budget.allows(now / 1e6):
             budget.extra_pushes.add(1, now / 1e6, now / 1e6)
-            assert not exact.breaks(now), now
+            assert not exact.add_push(now), now
             allowed += 1
-    assert allowed > 100, "a budget that allows next to nothing keeps every rule"
+    assert allowed > 100, "a budget that allows almost nothing would keep any rule"
     assert len(budget.invocations.counts) + len(budget.extra_pushes.counts) <= 2 * RetryBudget.SLOTS + 1
 
 
-def test_uses_nearly_all_that_the_rule_leaves() -> None:
+def test_allows_nearly_all_that_the_rule_permits() -> None:
     budget, pushed = RetryBudget(RetryBudgetRule(2.0, 0.15, 10.0)), 0
     for step in range(6000):
         now = 100.0 + step * 0.01
@@ -77,40 +81,44 @@
 
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
 @given(
-    st.lists(st.sampled_from(["come", "break", "full", "unsent", "done", "wait"]), min_size=20, max_size=200),
+    st.lists(
+        st.sampled_from(["submit", "break", "reject", "unsent", "complete", "wait"]),
+        min_size=20,
+        max_size=200,
+    ),
     st.sampled_from([(2.0, 0.15, 10.0), (0.0, 0.2, 2.0), (1.0, 0.0, 0.5)]),
     st.integers(1, 5),
 )
-def test_the_gate_keeps_the_budget_whatever_happens(
+def test_pushes_stay_within_the_budget_whatever_happens(
     steps: list[str], rule: tuple[float, float, float], seed: int
 ) -> None:
-    """Counted at the host: a push beyond the first, unless it turned out not to have been sent."""
+    """The host counts pushes beyond the first, unless they turned out not to have been sent."""
     host = FakeHost(seed, retry_budget=RetryBudgetRule(*rule))
     host.send_list([entry(n) for n in range(8)])
-    taken: list[float] = []
-    ends = {"break": Outcome.CONNECTION_LOST, "full": Outcome.REJECTED, "unsent": Outcome.NOT_SENT,
-            "done": Outcome.COMPLETED}  # fmt: skip
+    submitted: list[float] = []
+    outcomes = {"break": Outcome.CONNECTION_LOST, "reject": Outcome.REJECTED, "unsent": Outcome.NOT_SENT,
+            "complete": Outcome.COMPLETED}  # fmt: skip
     for number, step in enumerate(steps):
-        if step == "come":
-            taken.append(host.now)
+        if step == "submit":
+            submitted.append(host.now)
             host.submit(f"i{number}", ("look", "mark", "note")[number % 3])
         elif step == "wait":
             host.advance(0.3)
         elif host.open_pushes():
-            host.end_push(*host.open_pushes()[0], ends[step])
-        further = [
+            host.end_push(*host.open_pushes()[0], outcomes[step])
+        extra_pushes = [
             sent for record in host.records.values() for number, (_, sent) in enumerate(record.pushes)
             if number and record.outcomes.get(number) is not Outcome.NOT_SENT
         ]  # fmt: skip
-        for end in further:
+        for end in extra_pushes:
             begin = end - rule[2]
-            came = sum(begin < at <= end for at in taken)
-            assert sum(begin <= at <= end for at in further) <= rule[0] + rule[1] * came + 1e-9
+            invocations = sum(begin < at <= end for at in submitted)
+            assert sum(begin <= at <= end for at in extra_pushes) <= rule[0] + rule[1] * invocations + 1e-9
     settled = [record for record in host.records.values() if len(record.outcomes) == len(record.pushes)]
     assert all(record.final for record in settled)
 
 
-def test_without_budget_left_an_invocation_is_answered_at_once() -> None:
+def test_with_the_budget_used_up_an_invocation_is_answered_at_once() -> None:
     host = FakeHost(retry_budget=RetryBudgetRule(1.0, 0.0, 5.0))
     host.send_list([entry(n) for n in range(8)])
     for id in "ab":
@@ -119,7 +127,7 @@
     assert len(host.records["a"].pushes) == 2 and host.records["b"].final == "nacked"
 
 
-def test_a_new_span_forgets_nothing_that_was_pushed() -> None:
+def test_a_new_window_length_keeps_the_pushes_that_count() -> None:
     budget = RetryBudget(RetryBudgetRule(3.0, 0.0, 5.0))
     for _ in range(3):
         budget.extra_pushes.add(1, 100.0, 100.0)
@@ -128,53 +136,53 @@
     assert budget.with_rule(RetryBudgetRule(3.0, 0.0, 5.0), 104.0).allows(105.2)
 
 
-def here(number: int, state: State = State.RUNNING) -> Entry:
+def local_entry(number: int, state: State = State.RUNNING) -> Entry:
     return entry(number, state)._replace(zone="x")
 
 
-def serving(host: FakeHost) -> set[str]:
-    """To which backends pushes go, all being sound."""
-    met = set()
+def pushed_to(host: FakeHost) -> set[str]:
+    """The backends that get pushes while all complete them."""
+    backends = set()
     for step in range(80):
         record = host.submit(f"s{host.now}.{step}", tenant="")
         host.complete_all(0.02)
-        met.add(record.pushes[0][0])
-    return met
+        backends.add(record.pushes[0][0])
+    return backends
 
 
-@pytest.mark.parametrize("how", ["gone", "off the list"])
-def test_where_gone_does_not_bind_a_backend_goes_on_until_it_is_dead(how: str) -> None:
-    """Drains do bind, also when the same backend is called gone later, until it is listed as running."""
+@pytest.mark.parametrize("removal", ["gone", "off the list"])
+def test_with_soft_removal_a_removed_backend_is_used_until_it_is_dead(removal: str) -> None:
+    """A drain binds, also if the backend is listed as gone later, until it is listed as running."""
     host = FakeHost(soft_removal=True)
-    entries = [here(n) for n in range(6)]
+    entries = [local_entry(n) for n in range(6)]
     host.send_list(entries)
     host.advance(6.0)
 
-    def leaves(number: int, state: State) -> None:
-        if how == "gone" or state is State.DRAINING:
-            host.send_list([here(number, state)], ListKind.DELTA)
+    def remove(number: int, state: State) -> None:
+        if removal == "gone" or state is State.DRAINING:
+            host.send_list([local_entry(number, state)], ListKind.DELTA)
         else:
-            host.send_list([each for each in entries if each.backend not in {f"b{number:02}", "b01"}])
+            host.send_list([line for line in entries if line.backend not in {f"b{number:02}", "b01"}])
 
-    leaves(1, State.DRAINING)
-    leaves(1, State.GONE)
-    leaves(2, State.GONE)
-    assert serving(host) == {"b00", "b02", "b03", "b04", "b05"}
+    remove(1, State.DRAINING)
+    remove(1, State.GONE)
+    remove(2, State.GONE)
+    assert pushed_to(host) == {"b00", "b02", "b03", "b04", "b05"}
     while host.node.health.stats_of(host.node.registry.backends["b02"]).ejection_cause != "dead":
         host.submit(f"d{host.now}", tenant="")
         host.advance(0.02)
         for id, number in host.open_pushes():
-            lost = host.records[id].pushes[number][0] == "b02"
-            host.end_push(id, number, Outcome.UNREACHABLE if lost else Outcome.COMPLETED)
+            dead = host.records[id].pushes[number][0] == "b02"
+            host.end_push(id, number, Outcome.UNREACHABLE if dead else Outcome.COMPLETED)
     host.complete_all()
     host.advance(8.0)
-    assert "b02" not in serving(host), "found dead, it is gone as the list says"
+    assert "b02" not in pushed_to(host), "once found dead, it is removed as the list says"
     assert {backend.id for backend in host.node.registry.usable} == {"b00", "b03", "b04", "b05"}
-    host.send_list([here(1), here(2)], ListKind.DELTA)
+    host.send_list([local_entry(1), local_entry(2)], ListKind.DELTA)
     assert {"b01", "b02"} <= {backend.id for backend in host.node.registry.usable}
 
 
-BAD = [
+INVALID_RULES = [
     ({"ExtraFloor": -1, "BudgetSpan": 1000}, "ExtraFloor"),
     ({"ExtraFloor": 1e9, "BudgetSpan": 1000}, "ExtraFloor"),
     ({"RepeatRatio": -0.1, "BudgetSpan": 1000}, "RepeatRatio"),
@@ -187,19 +195,19 @@
 ]
 
 
-@pytest.mark.parametrize(("rules", "key"), BAD)
-def test_odd_figures_are_refused_by_key(rules: dict, key: str) -> None:
+@pytest.mark.parametrize(("rules", "key"), INVALID_RULES)
+def test_invalid_rules_are_rejected_with_their_key(rules: dict, key: str) -> None:
     info = deepcopy(SETTINGS)
     info["Rules"].update(rules)
     with pytest.raises(MalformedError, match=key):
         settings.policy_arguments(info)
 
 
-def test_figures_of_the_budget_are_taken_and_absent_ones_bound_nothing() -> None:
+def test_budget_settings_are_read_and_absent_ones_set_no_limit() -> None:
     info = deepcopy(SETTINGS)
     info["Rules"].update({"ExtraFloor": 2, "RepeatRatio": 0.15, "BudgetSpan": 10_000_000})
     info["Rules"]["SoftRemoval"] = True
     limits = settings.policy_arguments(info)["limits"]
     assert limits.retry_budget == RetryBudgetRule(2.0, 0.15, 10.0) and limits.soft_removal
-    free = settings.policy_arguments(SETTINGS)["limits"]
-    assert not free.soft_removal and free.retry_budget is None
+    without_rules = settings.policy_arguments(SETTINGS)["limits"]
+    assert not without_rules.soft_removal and without_rules.retry_budget is None
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -1,4 +1,4 @@
-"""A node for each client, and load that only probes tell: what the move to such deployments needs."""
+"""Deployments with one node for each client, where only probes return load reports."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from thornladder.interface import NO_REPORT, ListKind, LoadReport, Outcome, State
 from thornladder.node import messages
 
-OWN_NODE = {
+NODE_PER_CLIENT = {
     **SETTINGS,
     "Report": {"Source": "pull", "Fields": ["rif", "fail_rate"]},
     "Prices": {"Probe": 0.004},
@@ -24,89 +24,89 @@
 }
 
 
-def told(host: FakeHost, held: float = 4.0) -> None:
-    """Every probe that is out is answered."""
+def answer_probes(host: FakeHost, in_flight: float = 4.0) -> None:
+    """Answer every probe that is out with a load report."""
     while host.probes:
-        host.answer_probe(host.probes.pop(0), Outcome.COMPLETED, LoadReport(held))
+        host.answer_probe(host.probes.pop(0), Outcome.COMPLETED, LoadReport(in_flight))
 
 
-def settled(backends: list[int], **given: object) -> FakeHost:
-    """A node that has served these backends for a while and had reports of them."""
-    host = FakeHost(probes_per_invocation=1.0, **given)
+def warmed_up(backends: list[int], **options: object) -> FakeHost:
+    """A host whose node has pushed to these backends for a while and received their load reports."""
+    host = FakeHost(probes_per_invocation=1.0, **options)
     host.send_list([entry(n) for n in backends])
     for step in range(30):
         host.submit(f"w{step}")
-        told(host)
+        answer_probes(host)
         host.complete_all(0.01)
     return host
 
 
 def settings_with(part: str, name: str, value: object) -> dict:
-    info = deepcopy(OWN_NODE)
+    info = deepcopy(NODE_PER_CLIENT)
     info.setdefault(part, {})[name] = value
     return info
 
 
-def test_a_busy_client_s_node_is_not_held_to_an_even_part() -> None:
-    """Guards against nacks while the fleet has room: 50 nodes, 40 backends, most traffic is here."""
-    finals = {}
-    for asks in (0.0, 3.0):
-        host = FakeHost(nodes=50, probes_per_invocation=asks)
+def test_a_busy_node_is_not_limited_to_an_even_share_of_the_backends() -> None:
+    """Guards against nacks while backends are free: one of 50 nodes has most of the traffic."""
+    nacked = {}
+    for probes_per_invocation in (0.0, 3.0):
+        host = FakeHost(nodes=50, probes_per_invocation=probes_per_invocation)
         host.send_list([entry(n) for n in range(40)])
         for step in range(600):
             host.submit(f"i{step}", tenant="")
-            told(host, 0.5)
+            answer_probes(host, 0.5)
             host.advance(0.005)
             for id, number in host.open_pushes():
                 if host.now - host.records[id].pushes[number][1] >= 0.05:
                     host.end_push(id, number, Outcome.COMPLETED)
-        finals[asks] = sum(record.final == "nacked" for record in host.records.values())
-    assert finals[0.0] > 100 and finals[3.0] == 0, finals
+        nacked[probes_per_invocation] = sum(record.final == "nacked" for record in host.records.values())
+    assert nacked[0.0] > 100 and nacked[3.0] == 0, nacked
 
 
-def test_probes_are_few_and_go_to_those_whose_turn_comes() -> None:
+def test_load_probes_are_rate_limited_with_one_out_to_a_backend() -> None:
     host = FakeHost(probes_per_invocation=0.5)
     host.send_list([entry(n) for n in range(20)])
-    asked = 0
+    probes = 0
     for step in range(200):
         host.submit(f"i{step}")
-        asked += len(host.probes)
-        assert len(set(host.probes)) == len(host.probes), "one probe out to a backend at a time"
-        told(host)
+        probes += len(host.probes)
+        assert len(set(host.probes)) == len(host.probes), "two probes out to one backend"
+        answer_probes(host)
         host.complete_all(0.02)
-    assert 90 <= asked <= 101, "half a probe an invocation"
+    assert 90 <= probes <= 101, "half a probe for each invocation"
     host = FakeHost(probes_per_invocation=0.0)
     host.send_list([entry(n) for n in range(20)])
     for step in range(50):
         host.submit(f"i{step}")
         host.complete_all(0.02)
-    assert not host.probes, "where probes bring no load none is sent for it"
+    assert not host.probes, "load probes were sent where probes return no load"
 
 
-def test_a_report_of_many_held_makes_the_pick_yield_until_it_is_old() -> None:
-    host, met = settled([0, 2], hedging=False), []
+def test_a_report_of_many_in_flight_keeps_a_backend_from_being_picked_until_it_is_old() -> None:
+    host, picked = warmed_up([0, 2], hedging=False), []
     for step in range(40):
         host.answer_probe("b00", Outcome.COMPLETED, LoadReport(20.0))
         host.answer_probe("b02", Outcome.COMPLETED, LoadReport(1.0))
-        met.append(host.submit(f"x{step}").pushes[0][0])
+        picked.append(host.submit(f"x{step}").pushes[0][0])
         host.probes.clear()
         host.complete_all(0.02)
-    assert met.count("b02") == 40
+    assert picked.count("b02") == 40
     host.advance(4.0)
-    later = []
+    later_picked = []
     for step in range(20):
-        later.append(host.submit(f"y{step}").pushes[0][0])
+        later_picked.append(host.submit(f"y{step}").pushes[0][0])
         host.complete_all(0.02)
         host.advance(0.3)
-    assert "b00" in later, "an old report keeps nobody away"
+    assert "b00" in later_picked, "an old report still keeps pushes away"
 
 
-def test_missing_and_odd_values_change_nothing() -> None:
+def test_missing_and_invalid_report_values_change_nothing() -> None:
     hosts = [FakeHost(5, probes_per_invocation=0.0), FakeHost(5, probes_per_invocation=0.0)]
-    for odd, host in enumerate(hosts):
+    for with_reports, host in enumerate(hosts):
         host.send_list([entry(n) for n in range(6)])
         for step in range(60):
-            if odd:
+            if with_reports:
                 host.answer_probe("b01", Outcome.COMPLETED, NO_REPORT)
                 host.answer_probe("nobody", Outcome.COMPLETED, LoadReport(9.0))
             host.submit(f"i{step}")
@@ -123,8 +123,8 @@
         assert messages.decode_load_report(body) == NO_REPORT
 
 
-def test_a_backend_that_holds_and_completes_nothing_is_out_though_probes_reach_it() -> None:
-    """Guards against a hang that a shallow probe does not see: each answer to one brought it back."""
+def test_a_backend_that_completes_nothing_is_ejected_though_it_answers_probes() -> None:
+    """Guards against a hang that the probe handler does not notice: each answer readmitted the backend."""
     host = FakeHost(probes_per_invocation=1.0)
     host.send_list([entry(n) for n in range(6)])
     host.answer_probe("b01", Outcome.COMPLETED, LoadReport(12.0, 0.0, 0.0))
@@ -136,7 +136,7 @@
     assert not host.node.health.stats["b01"].ejection_cause
 
 
-def test_a_backend_whose_report_counts_errors_is_out_until_it_counts_none() -> None:
+def test_a_backend_whose_report_shows_errors_is_ejected_until_it_shows_none() -> None:
     host = FakeHost(probes_per_invocation=1.0)
     host.send_list([entry(n) for n in range(6)])
     host.answer_probe("b01", Outcome.COMPLETED, LoadReport(1.0, 9.0))
@@ -149,12 +149,12 @@
     assert not host.node.health.stats["b01"].ejection_cause
 
 
-def test_a_tagged_push_moves_off_a_silent_backend_within_its_window_only() -> None:
-    """Guards against a tagged invocation left on a silent backend, and against one moved off a slow one."""
-    for silent, group, moves in ((True, "mark", 1), (False, "mark", 0), (True, "book", 0)):
-        host, cancelled = settled(list(range(8)), hedging=False), []
+def test_a_tagged_push_is_moved_off_a_silent_backend_only_within_its_window() -> None:
+    """Guards against leaving a tagged invocation at a silent backend, and moving it off a slow one."""
+    for silent, offering, moves in ((True, "mark", 1), (False, "mark", 0), (True, "book", 0)):
+        host, cancelled = warmed_up(list(range(8)), hedging=False), []
         host.cancel = lambda id, number, cancelled=cancelled: cancelled.append((id, number))
-        record = host.submit("a", group)
+        record = host.submit("a", offering)
         first = record.pushes[0][0]
         for _ in range(14):
             host.advance(0.025)
@@ -164,39 +164,39 @@
             for id, number in cancelled:
                 if number not in host.records[id].outcomes:
                     host.end_push(id, number, Outcome.CANCELLED)
-        assert len(record.pushes) == 1 + moves, (silent, group)
+        assert len(record.pushes) == 1 + moves, (silent, offering)
         if moves:
-            (_, sent), (backend, again) = record.pushes
-            assert backend != first and again < sent + 0.4
+            (_, first_sent_at), (backend, sent_at) = record.pushes
+            assert backend != first and sent_at < first_sent_at + 0.4
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_is_lost_is_answered_at_once_and_nacks_say_when_to_come_back(seed: int) -> None:
-    """Guards against a lost invocation held until its time is almost up, so that its client stays quiet."""
+def test_failed_invocations_are_answered_at_once_and_nacks_give_a_retry_time(seed: int) -> None:
+    """Guards against holding a failed invocation until its time is almost up, to keep its client quiet."""
     rng = random.Random(seed)
     host = FakeHost(seed, hedging=False, probes_per_invocation=1.0)
     host.send_list([entry(n) for n in range(5)])
-    come_back = []
+    retry_times = []
     nack = host.nack
-    host.nack = lambda id, after: (come_back.append(after), nack(id, after))
+    host.nack = lambda id, retry_after: (retry_times.append(retry_after), nack(id, retry_after))
     for step in range(200):
         record = host.submit(f"i{step}", rng.choice(["look", "pay", "book", "mark"]))
-        told(host, rng.choice([1.0, 5.0]))
+        answer_probes(host, rng.choice([1.0, 5.0]))
         host.advance(rng.choice([0.01, 0.05]))
         while not record.final and len(record.outcomes) < len(record.pushes):
             host.end_push(
                 f"i{step}", len(record.outcomes), rng.choice([Outcome.ERROR, Outcome.CONNECTION_LOST])
             )
-        assert record.final, "given up and not answered at once"
-    assert come_back and all(0.0 < after <= 0.5 for after in come_back)
+        assert record.final, "given up but not answered at once"
+    assert retry_times and all(0.0 < retry_after <= 0.5 for retry_after in retry_times)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_in_random_runs_with_reports(seed: int) -> None:
+def test_rules_hold_in_random_runs_with_load_reports(seed: int) -> None:
     rng = random.Random(seed)
     host = FakeHost(seed, hedging=seed % 2 == 0, nodes=30, probes_per_invocation=3.0, worst_offering=0.3)
     host.send_list([entry(n) for n in range(8)], ListKind.RESTORED)
-    odd = (
+    reports = (
         NO_REPORT,
         LoadReport(0.0),
         LoadReport(40.0, 5.0, 0.0),
@@ -206,7 +206,7 @@
     for step in range(500):
         host.submit(f"i{step}", rng.choice(["look", "pay", "book", "note", "mark"]))
         for _ in range(min(len(host.probes), rng.randrange(3))):
-            host.answer_probe(host.probes.pop(), rng.choice(list(Outcome)), rng.choice(odd))
+            host.answer_probe(host.probes.pop(), rng.choice(list(Outcome)), rng.choice(reports))
         for id, number in host.open_pushes():
             if rng.random() < 0.3:
                 host.end_push(id, number, rng.choice(list(Outcome)))
@@ -219,9 +219,9 @@
     assert all(record.final for record in host.records.values()) and not host.node.active
 
 
-def test_the_worst_served_offering_weighs_by_the_settings() -> None:
-    def rank(worst: float) -> float:
-        host = FakeHost(worst_offering=worst, probes_per_invocation=1.0)
+def test_the_weight_of_the_worst_served_offering_comes_from_the_settings() -> None:
+    def rank(worst_offering: float) -> float:
+        host = FakeHost(worst_offering=worst_offering, probes_per_invocation=1.0)
         for step in range(100):
             host.submit(f"i{step}", "pay" if step % 4 else "look")
         return host.node.admission.offering_rank(host.node.offerings["look"], 0.05)
@@ -232,7 +232,7 @@
 
 @pytest.mark.parametrize(
     ("info", "key"),
-    [({**OWN_NODE, "Tenants": [{"Name": "t", "Share": 1.0}]}, "Tenants"),
+    [({**NODE_PER_CLIENT, "Tenants": [{"Name": "t", "Share": 1.0}]}, "Tenants"),
      (settings_with("PolicyLimits", "Probes", False), "PolicyLimits.Probes"),
      (settings_with("Report", "Fields", ["fail_rate"]), "Report.Fields"),
      (settings_with("Report", "Source", "silent"), "Blend.Tail"),
@@ -245,51 +245,53 @@
      (settings_with("Report", "Source", "smoke"), "Source"),
      (settings_with("Prices", "Probe", -0.1), "Prices.Probe")],
 )  # fmt: skip
-def test_settings_that_mix_shapes_or_make_no_sense_are_refused(info: dict, key: str) -> None:
+def test_settings_that_mix_deployment_types_or_are_invalid_are_rejected(info: dict, key: str) -> None:
     with pytest.raises(MalformedError, match=rf"^{key}\b"):
         settings.decode({**config([], 1), "settings": info})
 
 
-def test_each_shape_alone_is_taken_and_probes_are_paced_by_their_price() -> None:
-    def asks(info: dict) -> float:
+def test_each_deployment_type_is_accepted_and_the_probe_rate_follows_the_price() -> None:
+    def probe_rate(info: dict) -> float:
         return settings.decode({**config([], 1), "settings": info}).decisions["limits"].probes_per_invocation
 
-    assert asks(SETTINGS) == 0.0
-    assert asks({**SETTINGS, "Report": {"Fields": [], "Source": "silent"}, "Tenants": []}) == 0.0
-    assert asks(OWN_NODE) == settings.MAX_PROBE_COST_SHARE / 0.004
-    assert asks({**OWN_NODE, "Prices": {}}) == settings.MAX_PROBES_PER_INVOCATION
+    assert probe_rate(SETTINGS) == 0.0
+    assert probe_rate({**SETTINGS, "Report": {"Fields": [], "Source": "silent"}, "Tenants": []}) == 0.0
+    assert probe_rate(NODE_PER_CLIENT) == settings.MAX_PROBE_COST_SHARE / 0.004
+    assert probe_rate({**NODE_PER_CLIENT, "Prices": {}}) == settings.MAX_PROBES_PER_INVOCATION
 
 
 @pytest.mark.anyio
-async def test_a_load_probe_on_sockets_reaches_the_module(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Malformed reports among them, which change nothing and end nothing."""
-    heard: dict[str, LoadReport] = {}
-    tell = decide.Node.on_probe_ended
+async def test_a_load_probe_over_sockets_reaches_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Malformed reports count as none, and break nothing."""
+    reports: dict[str, LoadReport] = {}
+    on_probe_ended = decide.Node.on_probe_ended
 
-    def hear(node: decide.Node, now: float, id: str, outcome: Outcome, report: LoadReport) -> None:
-        heard[id] = report
-        tell(node, now, id, outcome, report)
+    def record_report(node: decide.Node, now: float, id: str, outcome: Outcome, report: LoadReport) -> None:
+        reports[id] = report
+        on_probe_ended(node, now, id, outcome, report)
 
-    monkeypatch.setattr(decide.Node, "on_probe_ended", hear)
+    monkeypatch.setattr(decide.Node, "on_probe_ended", record_report)
     bodies = [b'{"rif":7,"fail_rate":0.5}', b"nonsense", b'{"rif":-3}', b"x" * 9000]
 
     def answer(number: int) -> Callable[[ReceivedMessage], bytes]:
         return lambda got: reply(200, bodies[number]) if got.target == "/stats" else reply(200)
 
-    async with LoopbackCluster(*(answer(number) for number in range(4)), info=OWN_NODE) as bank:
-        with anyio.fail_after(8.0):  # some rebuilds of the rotation: whose turns come next is chance
+    async with LoopbackCluster(*(answer(number) for number in range(4)), info=NODE_PER_CLIENT) as cluster:
+        with anyio.fail_after(8.0):  # several rebuilds of the rotation, each of which draws the next turns
             for number in itertools.count():
-                assert (await bank.ask(f"a{number}", "look")).target == "200"
-                if number >= 39 and len(heard) == 4:
+                assert (await cluster.ask(f"a{number}", "look")).target == "200"
+                if number >= 39 and len(reports) == 4:
                     break
-        assert not any(got.target == "/health/live" for each in bank.backends for got in each.received)
-    assert heard.pop("s0") == LoadReport(7.0, 0.5)
-    assert set(heard.values()) == {NO_REPORT}
+        assert not any(
+            got.target == "/health/live" for backend in cluster.backends for got in backend.received
+        )
+    assert reports.pop("s0") == LoadReport(7.0, 0.5)
+    assert set(reports.values()) == {NO_REPORT}
 
 
 @pytest.mark.anyio
-async def test_without_reports_nothing_is_asked_for() -> None:
-    async with LoopbackCluster(lambda got: reply(200)) as bank:
+async def test_without_load_reports_no_probes_are_sent() -> None:
+    async with LoopbackCluster(lambda got: reply(200)) as cluster:
         for number in range(20):
-            assert (await bank.ask(f"a{number}", "look")).target == "200"
-        assert {got.target for got in bank.backends[0].received} == {"/look"}
+            assert (await cluster.ask(f"a{number}", "look")).target == "200"
+        assert {got.target for got in cluster.backends[0].received} == {"/look"}
