--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -126,4 +126,4 @@
         await anyio.wait_readable(place)
         raw, _ = place.accept()
         stream = await anyio.abc.SocketStream.from_socket(raw)
-        tasks.start_soon(peer._talk, stream)
+        tasks.start_soon(peer._serve_connection, stream)
