--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that closes has gone: no attempt for it begins afterwards, wherever its end lies unread."""
+"""No push starts for a client that has disconnected, even while its close is still unread in a buffer."""
 
 from __future__ import annotations
 
@@ -21,181 +21,189 @@
 from thornladder.node.messages import MAX_BUFFERED_BYTES
 
 pytestmark = pytest.mark.anyio
-RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: close sends a reset
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes close() send a reset
 
 
-def done(_: ReceivedMessage) -> bytes:
+def complete(_: ReceivedMessage) -> bytes:
     return reply(200)
 
 
-def info(**limits: Any) -> dict:
-    changed = copy.deepcopy(SETTINGS)
-    changed["PolicyLimits"] |= limits
-    return changed
+def settings_with(**limits: Any) -> dict:
+    settings = copy.deepcopy(SETTINGS)
+    settings["PolicyLimits"] |= limits
+    return settings
 
 
-class Gate:
-    """Holds every new connection to a backend until it is opened, as one that comes up late."""
+class ConnectGate:
+    """Delays every new backend connection until `open` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting, self.passed, self.open = 0, 0, anyio.Event()
-        get = Pool.acquire
+        acquire = Pool.acquire
 
-        async def late(pool: Pool, backend: str, address: tuple[str, int]) -> UpstreamConnection | Failure:
-            line = await get(pool, backend, address)
+        async def delayed_acquire(
+            pool: Pool, backend: str, address: tuple[str, int]
+        ) -> UpstreamConnection | Failure:
+            connection = await acquire(pool, backend, address)
             self.waiting += 1
             with anyio.CancelScope(shield=True):
                 await self.open.wait()
             self.passed += 1
-            return line
+            return connection
 
-        monkeypatch.setattr(Pool, "acquire", late)
+        monkeypatch.setattr(Pool, "acquire", delayed_acquire)
 
 
-def client(port: int) -> socket.socket:
-    """A bare socket: what it does is done before the event loop has another turn."""
-    raw = socket.create_connection(("127.0.0.1", port))
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return raw
+def connect_socket(port: int) -> socket.socket:
+    """Returns a blocking socket, whose calls take effect before the event loop's next turn."""
+    client_socket = socket.create_connection(("127.0.0.1", port))
+    client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return client_socket
 
 
-def asks(id: str, name: str = "look", body: bytes = b"", length: int | None = None) -> bytes:
+def request_bytes(id: str, name: str = "look", body: bytes = b"", length: int | None = None) -> bytes:
     method = "POST" if body or length else "GET"
     head = f"{method} /{name} HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}\r\nX-Budget-Ms: 900\r\n"
     return f"{head}Content-Length: {len(body) if length is None else length}\r\n\r\n".encode() + body
 
 
-def unsent(raw: socket.socket) -> int:
-    """Bytes that the other side's kernel has not taken yet."""
-    return struct.unpack("i", fcntl.ioctl(raw, termios.TIOCOUTQ, bytes(4)))[0]
+def unsent_bytes(client_socket: socket.socket) -> int:
+    """Returns the number of sent bytes that the peer's kernel has not acknowledged."""
+    return struct.unpack("i", fcntl.ioctl(client_socket, termios.TIOCOUTQ, bytes(4)))[0]
 
 
-def close(raw: socket.socket) -> None:
-    raw.close()
+def close(client_socket: socket.socket) -> None:
+    client_socket.close()
 
 
-def reset(raw: socket.socket) -> None:
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    raw.close()
+def reset(client_socket: socket.socket) -> None:
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    client_socket.close()
 
 
-def half_close(raw: socket.socket) -> None:
-    raw.shutdown(socket.SHUT_WR)
+def half_close(client_socket: socket.socket) -> None:
+    client_socket.shutdown(socket.SHUT_WR)
 
 
-ENDS = pytest.mark.parametrize("end", [close, reset, half_close])
+CLIENT_ENDS = pytest.mark.parametrize("end", [close, reset, half_close])
 
 
-async def settled(bank: LoopbackCluster, peer: FakeServer) -> None:
-    """Returns when the node has served another client since: what was to come of the first has come."""
-    before = len(peer.received)
-    assert (await bank.ask("later", "look")).target == "200"
-    assert len(peer.received) == before + 1
+async def wait_until_settled(cluster: LoopbackCluster, backend: FakeServer) -> None:
+    """Serves another client; by then the first client's request has had all its effects."""
+    count = len(backend.received)
+    assert (await cluster.ask("later", "look")).target == "200"
+    assert len(backend.received) == count + 1
 
 
-@ENDS
-@pytest.mark.parametrize("cancelling", [True, False])
+@CLIENT_ENDS
+@pytest.mark.parametrize("cancellation", [True, False])
 @pytest.mark.parametrize("name", ["look", "pay"])
-async def test_no_attempt_begins_on_a_connection_that_came_up_after_the_client_had_gone(
-    end: Callable[[socket.socket], None], cancelling: bool, name: str, monkeypatch: pytest.MonkeyPatch
+async def test_no_push_is_sent_on_a_connection_opened_after_the_client_left(
+    end: Callable[[socket.socket], None], cancellation: bool, name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Where nothing may be cancelled the attempt went out all the same, up to 1.5 s after its client had gone.
-    gate = Gate(monkeypatch)
-    async with LoopbackCluster(done, info=info(Cancelling=cancelling)) as bank:
-        raw = client(bank.port)
-        raw.sendall(asks("aa", name))
+    # Without cancellation the push was still sent, up to 1.5 s after its client had left.
+    gate = ConnectGate(monkeypatch)
+    async with LoopbackCluster(complete, info=settings_with(Cancelling=cancellation)) as cluster:
+        client_socket = connect_socket(cluster.port)
+        client_socket.sendall(request_bytes("aa", name))
         await wait_until(lambda: gate.waiting == 1)
-        end(raw)
+        end(client_socket)
         gate.open.set()
         await wait_until(lambda: gate.passed == 1)
-        await settled(bank, bank.backends[0])
-        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["later"]
-        raw.close()
+        await wait_until_settled(cluster, cluster.backends[0])
+        assert [message.headers["x-call-id"] for message in cluster.backends[0].received] == ["later"]
+        client_socket.close()
 
 
-@ENDS
-async def test_a_request_and_its_clients_end_that_come_together_begin_nothing(
+@CLIENT_ENDS
+async def test_a_request_that_arrives_with_its_clients_close_is_not_pushed(
     end: Callable[[socket.socket], None],
 ) -> None:
-    # A node that is late reads the request first: its reading task hears of the end a turn after the attempt.
-    async with LoopbackCluster(done) as bank:
-        raw = client(bank.port)
-        raw.sendall(asks("a0"))
-        await wait_until(lambda: bank.backends[0].received)
-        assert (await anyio.to_thread.run_sync(raw.recv, 65536)).startswith(b"HTTP/1.1 200")
-        raw.sendall(asks("a1"))
-        end(raw)
-        await settled(bank, bank.backends[0])
-        assert "a1" not in [got.headers["x-call-id"] for got in bank.backends[0].received]
-        raw.close()
-
-
-@ENDS
-async def test_an_end_behind_a_large_body_that_is_held_up_is_seen(
+    # An overloaded node reads the request first; its reading task sees the close a turn after the push.
+    async with LoopbackCluster(complete) as cluster:
+        client_socket = connect_socket(cluster.port)
+        client_socket.sendall(request_bytes("a0"))
+        await wait_until(lambda: cluster.backends[0].received)
+        assert (await anyio.to_thread.run_sync(client_socket.recv, 65536)).startswith(b"HTTP/1.1 200")
+        client_socket.sendall(request_bytes("a1"))
+        end(client_socket)
+        await wait_until_settled(cluster, cluster.backends[0])
+        assert "a1" not in [message.headers["x-call-id"] for message in cluster.backends[0].received]
+        client_socket.close()
+
+
+@CLIENT_ENDS
+async def test_a_close_behind_a_stalled_large_body_is_detected(
     end: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Back-pressure keeps the body's rest, and the end behind it, in the kernel, where no reading task looks.
-    gate = Gate(monkeypatch)
-    async with LoopbackCluster(done) as bank:
-        raw = client(bank.port)
-        raw.sendall(asks("aa", "pay", length=6 * MAX_BUFFERED_BYTES) + b"x" * (MAX_BUFFERED_BYTES + 1))
+    # Backpressure keeps the rest of the body and the close behind it in the kernel, unseen by a reader.
+    gate = ConnectGate(monkeypatch)
+    async with LoopbackCluster(complete) as cluster:
+        client_socket = connect_socket(cluster.port)
+        client_socket.sendall(
+            request_bytes("aa", "pay", length=6 * MAX_BUFFERED_BYTES) + b"x" * (MAX_BUFFERED_BYTES + 1)
+        )
         await wait_until(lambda: gate.waiting == 1)
-        raw.sendall(b"x" * 20_000)
-        raw.sendall(b"x" * 20_000)
-        # What the client's own kernel still holds keeps its end back as well: nobody can see that one.
-        await wait_until(lambda: unsent(raw) == 0)
-        end(raw)
+        client_socket.sendall(b"x" * 20_000)
+        client_socket.sendall(b"x" * 20_000)
+        # A close behind data in the client's own send buffer is not sent yet and cannot be detected.
+        await wait_until(lambda: unsent_bytes(client_socket) == 0)
+        end(client_socket)
         gate.open.set()
         await wait_until(lambda: gate.passed == 1)
-        await settled(bank, bank.backends[0])
-        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["later"]
-        assert bank.backends[0].head_ids == ["later"]
-        raw.close()
+        await wait_until_settled(cluster, cluster.backends[0])
+        assert [message.headers["x-call-id"] for message in cluster.backends[0].received] == ["later"]
+        assert cluster.backends[0].head_ids == ["later"]
+        client_socket.close()
 
 
-@ENDS
-@pytest.mark.parametrize("cancelling", [True, False])
-async def test_nothing_is_sent_again_for_a_client_that_left_between_two_attempts(
-    end: Callable[[socket.socket], None], cancelling: bool
+@CLIENT_ENDS
+@pytest.mark.parametrize("cancellation", [True, False])
+async def test_no_retry_for_a_client_that_left_after_the_first_push(
+    end: Callable[[socket.socket], None], cancellation: bool
 ) -> None:
     ended: list[str] = []
 
-    def full(got: ReceivedMessage) -> bytes:
-        if got.headers["x-call-id"] == "aa" and not ended:
-            end(raw)
-            ended.append(got.headers["x-call-id"])
+    def reject_once(message: ReceivedMessage) -> bytes:
+        if message.headers["x-call-id"] == "aa" and not ended:
+            end(client_socket)
+            ended.append(message.headers["x-call-id"])
             return reply(503, X_Rejected="1")
         return reply(200)
 
-    async with LoopbackCluster(full, full, full, info=info(Cancelling=cancelling)) as bank:
-        raw = client(bank.port)
-        raw.sendall(asks("aa"))
+    async with LoopbackCluster(
+        reject_once, reject_once, reject_once, info=settings_with(Cancelling=cancellation)
+    ) as cluster:
+        client_socket = connect_socket(cluster.port)
+        client_socket.sendall(request_bytes("aa"))
         await wait_until(lambda: ended)
         for number in range(6):
-            assert (await bank.ask(f"b{number}", "look")).target == "200"
-        ids = [got.headers["x-call-id"] for peer in bank.backends for got in peer.received]
+            assert (await cluster.ask(f"b{number}", "look")).target == "200"
+        ids = [message.headers["x-call-id"] for backend in cluster.backends for message in backend.received]
         assert ids.count("aa") == 1
-        raw.close()
+        client_socket.close()
 
 
-@pytest.mark.parametrize("broken", ["dup", "poll"])
-async def test_a_look_that_fails_takes_nobody_for_gone(broken: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # A client that was there was left without an answer, since looking at its socket failed.
-    def fails(*_: object) -> None:
+@pytest.mark.parametrize("failing_call", ["dup", "poll"])
+async def test_a_failed_socket_check_does_not_count_as_a_disconnect(
+    failing_call: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # A connected client got no answer when checking its socket failed.
+    def raise_os_error(*_: object) -> None:
         raise OSError(24, "Too many open files")
 
-    async with LoopbackCluster(done) as bank:
-        found: list[ClientConnection] = []
-        left = ClientConnection._client_left
+    async with LoopbackCluster(complete) as cluster:
+        checked: list[ClientConnection] = []
+        client_left = ClientConnection._client_left
 
-        def looked(connection: ClientConnection) -> bool:
-            found.append(connection)
+        def check_with_error(connection: ClientConnection) -> bool:
+            checked.append(connection)
             with monkeypatch.context() as patch:
-                if broken == "dup":
-                    patch.setattr(streams.os, "dup", fails)
+                if failing_call == "dup":
+                    patch.setattr(streams.os, "dup", raise_os_error)
                 else:
-                    patch.setattr(streams, "raw_socket", fails)
-                return left(connection)
+                    patch.setattr(streams, "raw_socket", raise_os_error)
+                return client_left(connection)
 
-        monkeypatch.setattr(ClientConnection, "_client_left", looked)
-        assert (await bank.ask("aa", "look")).target == "200" and found
+        monkeypatch.setattr(ClientConnection, "_client_left", check_with_error)
+        assert (await cluster.ask("aa", "look")).target == "200" and checked
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Bytes, closes and signals that cross at one instant, forced by a scripted peer and never by a sleep."""
+"""Races between data, closes and resets, forced by a scripted backend rather than by sleeps."""
 
 from __future__ import annotations
 
@@ -22,144 +22,147 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-def done(got: ReceivedMessage) -> bytes:
-    return reply(200, f"{got.headers.get('x-call-id')} done".encode())
+def complete(message: ReceivedMessage) -> bytes:
+    return reply(200, f"{message.headers.get('x-call-id')} done".encode())
 
 
-class Script(FakeServer):
-    """A backend whose connections the test writes to and ends itself, after the answer to each request."""
+class ScriptedBackend(FakeServer):
+    """A backend to whose open connections the test writes, and which it closes, after each response."""
 
-    def __init__(self, answer: Callable[[ReceivedMessage], bytes | None] = done) -> None:
+    def __init__(self, answer: Callable[[ReceivedMessage], bytes | None] = complete) -> None:
         super().__init__(answer)
 
-    async def _each(self, act: Callable[[Any], Awaitable[None]]) -> None:
+    async def _for_each_stream(self, action: Callable[[Any], Awaitable[None]]) -> None:
         for stream in self.streams:
-            # The node may have ended it before.
+            # The node may have closed it already.
             with suppress(OSError, RuntimeError, AttributeError, ValueError, anyio.BrokenResourceError,
                           anyio.ClosedResourceError):  # fmt: skip
-                await act(stream)
+                await action(stream)
 
     async def write(self, data: bytes) -> None:
-        await self._each(lambda stream: stream.send(data))
+        await self._for_each_stream(lambda stream: stream.send(data))
 
     async def close(self) -> None:
-        await self._each(lambda stream: stream.aclose())
+        await self._for_each_stream(lambda stream: stream.aclose())
 
     async def half_close(self) -> None:
-        await self._each(lambda stream: stream.send_eof())
+        await self._for_each_stream(lambda stream: stream.send_eof())
 
     async def reset(self) -> None:
         async def reset(stream: Any) -> None:
-            raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            raw_socket = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+            raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             await stream.aclose()
 
-        await self._each(reset)
+        await self._for_each_stream(reset)
 
 
-ANSWER = reply(200, b"another's")
-BETWEEN: dict[str, Callable[[Script], Awaitable[None]]] = {
-    "a second answer": lambda peer: peer.write(ANSWER),
-    "half a line": lambda peer: peer.write(b"HTTP/1.1 2"),
-    "a close": lambda peer: peer.close(),
-    "a half close": lambda peer: peer.half_close(),
-    "a reset": lambda peer: peer.reset(),
-    "an answer and a close": lambda peer: _both(peer),
+OTHER_RESPONSE = reply(200, b"another's")
+DISTURBANCES: dict[str, Callable[[ScriptedBackend], Awaitable[None]]] = {
+    "a second response": lambda backend: backend.write(OTHER_RESPONSE),
+    "half a status line": lambda backend: backend.write(b"HTTP/1.1 2"),
+    "a close": lambda backend: backend.close(),
+    "a half-close": lambda backend: backend.half_close(),
+    "a reset": lambda backend: backend.reset(),
+    "a response and a close": lambda backend: _write_and_close(backend),
 }
 
 
-async def _both(peer: Script) -> None:
-    await peer.write(ANSWER)
-    await peer.close()
+async def _write_and_close(backend: ScriptedBackend) -> None:
+    await backend.write(OTHER_RESPONSE)
+    await backend.close()
 
 
-class Scripted(LoopbackCluster):
-    def __init__(self, peer: Script, **given: Any) -> None:
-        super().__init__(**given)
-        self.backends = [peer]
+class ScriptedCluster(LoopbackCluster):
+    """A cluster with a scripted backend as its only one."""
 
+    def __init__(self, backend: ScriptedBackend, **kwargs: Any) -> None:
+        super().__init__(**kwargs)
+        self.backends = [backend]
 
-@pytest.mark.parametrize("name", BETWEEN)
+
+@pytest.mark.parametrize("disturbance", DISTURBANCES)
 @pytest.mark.parametrize("path", ["look", "pay"])
-async def test_what_comes_on_a_resting_connection_is_no_answer_to_the_next_request(
-    name: str, path: str, monkeypatch: pytest.MonkeyPatch
+async def test_unsolicited_data_on_an_idle_connection_does_not_answer_the_next_request(
+    disturbance: str, path: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It came before the connection was taken up again.
+    # The data arrives before the connection is reused.
     monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.0)
-    peer = Script()
-    async with Scripted(peer) as bank:
-        client = await bank.client()
+    backend = ScriptedBackend()
+    async with ScriptedCluster(backend) as cluster:
+        client = await cluster.client()
         assert (await client.ask("a0", path, body=b"x")).body == b"a0 done"
-        await BETWEEN[name](peer)
-        line: list[Any] = []
-        await wait_until(lambda: line or _idle(bank, line))
-        await wait_until(lambda: not line[0].stream or streams.has_unread_data(line[0].stream))
+        await DISTURBANCES[disturbance](backend)
+        idle: list[Any] = []
+        await wait_until(lambda: idle or _collect_idle(cluster, idle))
+        await wait_until(lambda: not idle[0].stream or streams.has_unread_data(idle[0].stream))
         answer = await client.ask("a1", path, body=b"x")
         assert (answer.target, answer.body) == ("200", b"a1 done")
-        assert peer.opened == 2
+        assert backend.opened == 2
 
 
-def _idle(bank: LoopbackCluster, found: list[Any]) -> bool:
-    found += [line for pool in POOLS for lines in pool.idle.values() for line in lines]
-    return bool(found)
+def _collect_idle(cluster: LoopbackCluster, idle: list[Any]) -> bool:
+    idle += [connection for pool in POOLS for connections in pool.idle.values() for connection in connections]
+    return bool(idle)
 
 
 POOLS: list[Pool] = []
 
 
 @pytest.fixture(autouse=True)
-def pools(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The pools that nodes make in a test."""
+def record_pools(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Records the connection pools created during a test."""
     POOLS.clear()
-    make = Pool.__init__
+    original_init = Pool.__init__
 
-    def made(pool: Pool, *given: Any, **named: Any) -> None:
-        make(pool, *given, **named)
+    def record_init(pool: Pool, *args: Any, **kwargs: Any) -> None:
+        original_init(pool, *args, **kwargs)
         POOLS.append(pool)
 
-    monkeypatch.setattr(Pool, "__init__", made)
+    monkeypatch.setattr(Pool, "__init__", record_init)
 
 
-async def test_a_second_answer_that_comes_late_is_not_the_next_clients(
+async def test_a_late_second_response_does_not_answer_the_next_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # It came some milliseconds after the first, when the connection had been taken up again: another client's
-    # answer went out. The rest is made long here, so that on any machine the second answer comes within it.
+    # A second response came milliseconds after the first, when the connection had already been reused, and
+    # went to another client. The long reuse delay makes it arrive within the delay on any machine.
     monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.5)
-    peer = Script()
-    async with Scripted(peer) as bank:
-        first, second = await bank.client(), await bank.client()
+    backend = ScriptedBackend()
+    async with ScriptedCluster(backend) as cluster:
+        first, second = await cluster.client(), await cluster.client()
         assert (await first.ask("a0", "look")).body == b"a0 done"
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(second.send, "a1", "pay")  # not moved elsewhere meanwhile
-            await wait_until(lambda: POOLS and not any(POOLS[0].idle.values()))  # it is taken up
-            await peer.write(ANSWER)
+            tasks.start_soon(second.send, "a1", "pay")  # once-only: not retried elsewhere meanwhile
+            # Until the connection is being reused.
+            await wait_until(lambda: POOLS and not any(POOLS[0].idle.values()))
+            await backend.write(OTHER_RESPONSE)
         assert (await second.answer()).body == b"a1 done"
-        assert peer.opened == 2
+        assert backend.opened == 2
 
 
-async def test_a_client_that_leaves_while_a_connection_rests_takes_it_from_nobody(
+async def test_a_client_leaving_during_the_reuse_delay_frees_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.3)
-    async with LoopbackCluster(done) as bank:
-        client = await bank.client()
+    async with LoopbackCluster(complete) as cluster:
+        client = await cluster.client()
         assert (await client.ask("a0", "look")).target == "200"
         await client.send("a1", "look")
         await wait_until(lambda: not any(POOLS[0].idle.values()))
         await client.stream.aclose()
-        await wait_until(lambda: POOLS[0].open_connections == 0)  # closed, and its place is free
-        assert (await bank.ask("a2", "look")).body == b"a2 done"
-        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["a0", "a2"]
+        await wait_until(lambda: POOLS[0].open_connections == 0)  # closed, and no longer counted
+        assert (await cluster.ask("a2", "look")).body == b"a2 done"
+        assert [message.headers["x-call-id"] for message in cluster.backends[0].received] == ["a0", "a2"]
 
 
-async def test_a_sweep_while_a_connection_rests_gives_no_connection_to_two(
+async def test_a_sweep_during_the_reuse_delay_gives_no_connection_to_two_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The sweep makes the list of idle ones anew: who waited went on with the old one.
+    # The sweep replaces the list of idle connections; a waiting request went on with the old list.
     monkeypatch.setattr(Pool, "REUSE_DELAY_SECONDS", 0.4)
-    async with LoopbackCluster(done) as bank:
-        clients = [await bank.client() for _ in range(3)]
+    async with LoopbackCluster(complete) as cluster:
+        clients = [await cluster.client() for _ in range(3)]
         async with anyio.create_task_group() as tasks:
             for number, client in enumerate(clients):
                 tasks.start_soon(client.ask, f"a{number}", "pay", 900, b"x")
@@ -170,74 +173,76 @@
             await POOLS[0].close_expired()
         answers = [await client.answer() for client in clients]
         assert [answer.body for answer in answers] == [f"b{number} done".encode() for number in range(3)]
-        assert POOLS[0].open_connections == sum(len(lines) for lines in POOLS[0].idle.values()) <= 6
+        assert (
+            POOLS[0].open_connections == sum(len(connections) for connections in POOLS[0].idle.values()) <= 6
+        )
 
 
-async def test_small_writes_wait_for_nothing_on_either_side(monkeypatch: pytest.MonkeyPatch) -> None:
-    # What the system held back went with a close, and a reset overtook it.
-    seen: dict[str, set[int]] = {"client": set(), "backend": set()}
+async def test_nagles_algorithm_is_off_on_both_sides(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Data delayed by Nagle's algorithm was sent with the close, and a reset overtook it.
+    no_delay_values: dict[str, set[int]] = {"client": set(), "backend": set()}
 
-    def noted(side: str, stream: Any) -> None:
-        raw = streams.raw_socket(stream)
-        seen[side].add(raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+    def record_no_delay(side: str, stream: Any) -> None:
+        raw_socket = streams.raw_socket(stream)
+        no_delay_values[side].add(raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
 
-    get, answer = Pool.acquire, ClientConnection._deliver
+    acquire, deliver = Pool.acquire, ClientConnection._deliver
 
-    async def got(pool: Pool, *given: Any) -> UpstreamConnection | Failure:
-        line = await get(pool, *given)
-        noted("backend", line.stream)
-        return line
+    async def record_acquire(pool: Pool, *args: Any) -> UpstreamConnection | Failure:
+        connection = await acquire(pool, *args)
+        record_no_delay("backend", connection.stream)
+        return connection
 
-    def delivered(connection: ClientConnection, *given: Any) -> None:
-        noted("client", connection.stream)
-        answer(connection, *given)
+    def record_delivery(connection: ClientConnection, *args: Any) -> None:
+        record_no_delay("client", connection.stream)
+        deliver(connection, *args)
 
-    monkeypatch.setattr(Pool, "acquire", got)
-    monkeypatch.setattr(ClientConnection, "_deliver", delivered)
-    async with LoopbackCluster(done) as bank:
-        client = await bank.client()
+    monkeypatch.setattr(Pool, "acquire", record_acquire)
+    monkeypatch.setattr(ClientConnection, "_deliver", record_delivery)
+    async with LoopbackCluster(complete) as cluster:
+        client = await cluster.client()
         for number in range(2):
             assert (await client.ask(f"a{number}", "look")).target == "200"
-    assert seen == {"client": {1}, "backend": {1}}
+    assert no_delay_values == {"client": {1}, "backend": {1}}
 
 
 @pytest.mark.parametrize("seed", range(6))
-async def test_seeded_crossings_give_each_client_its_own_answer_or_a_sound_no(seed: int) -> None:
-    """Second answers, half lines, closes and resets between and amid requests of several clients."""
+async def test_random_closes_and_resets_give_each_client_its_own_answer_or_an_error(seed: int) -> None:
+    """Closes and resets between and during the requests of several clients, in a seeded order."""
     rng = random.Random(seed)
-    peer = Script()
-    async with Scripted(peer) as bank:
-        ran: list[str] = []
+    backend = ScriptedBackend()
+    async with ScriptedCluster(backend) as cluster:
+        completed: list[str] = []
 
         async def ask(number: int) -> None:
-            client = await bank.client()
-            for turn in range(6):
-                id = f"{number}-{turn}"
+            client = await cluster.client()
+            for attempt in range(6):
+                id = f"{number}-{attempt}"
                 try:
                     answer = await client.ask(id, rng.choice(("look", "pay")), body=b"x")
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
-                    client = await bank.client()
+                    client = await cluster.client()
                     continue
                 assert answer.target in ("200", "502", "503"), answer
                 if answer.target == "200":
                     assert answer.body == f"{id} done".encode()
-                    ran.append(id)
+                    completed.append(id)
                 if answer.headers.get("connection") == "close":
-                    client = await bank.client()
+                    client = await cluster.client()
 
         async def disturb() -> None:
             for _ in range(12):
-                count = len(peer.received)
+                count = len(backend.received)
                 with anyio.move_on_after(1.0):
-                    await wait_until(lambda: len(peer.received) > count)  # noqa: B023
-                # Never an answer amid a request that is out: no node could tell that from its own.
-                name = rng.choice(["a close", "a reset"])
-                await BETWEEN[name](peer)
+                    await wait_until(lambda: len(backend.received) > count)  # noqa: B023
+                # No unsolicited response during a request: a node cannot tell it from the real one.
+                disturbance = rng.choice(["a close", "a reset"])
+                await DISTURBANCES[disturbance](backend)
 
         async with anyio.create_task_group() as tasks:
             for number in range(4):
                 tasks.start_soon(ask, number)
             tasks.start_soon(disturb)
-        once = [got.headers["x-call-id"] for got in peer.received if got.target == "/pay"]
-        assert len(once) == len(set(once)), "run twice"
-        assert ran
+        pay_ids = [message.headers["x-call-id"] for message in backend.received if message.target == "/pay"]
+        assert len(pay_ids) == len(set(pay_ids)), "run twice"
+        assert completed
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Large bodies: passed on as they come, both ways, within a stated part of the memory."""
+"""Large bodies are streamed in both directions within a fixed share of the memory."""
 
 from __future__ import annotations
 
@@ -40,58 +40,58 @@
 BODY = random.Random(5).randbytes(400_000)
 
 
-def large(got: ReceivedMessage) -> bytes:
-    return reply(200, got.headers.get("x-call-id", "").encode() + BODY)
+def large_response(message: ReceivedMessage) -> bytes:
+    return reply(200, message.headers.get("x-call-id", "").encode() + BODY)
 
 
-def chunked(got: ReceivedMessage) -> bytes:
-    body = got.headers.get("x-call-id", "").encode() + BODY
-    parts = [body[at : at + 30_000] for at in range(0, len(body), 30_000)]
+def chunked_response(message: ReceivedMessage) -> bytes:
+    body = message.headers.get("x-call-id", "").encode() + BODY
+    parts = [body[offset : offset + 30_000] for offset in range(0, len(body), 30_000)]
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (*parts, b""))
     return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
 
 
-class Watched(BodyBudget):
-    """Keeps the most that was ever held."""
+class RecordingBudget(BodyBudget):
+    """Records the peak use of the budget."""
 
-    last: Watched
+    latest: RecordingBudget
 
-    def __init__(self, most: int) -> None:
-        super().__init__(most)
-        self.top, Watched.last = 0, self
+    def __init__(self, limit: int) -> None:
+        super().__init__(limit)
+        self.peak, RecordingBudget.latest = 0, self
 
     async def acquire(self, size: int, holder: object) -> None:
         await super().acquire(size, holder)
-        self.top = max(self.top, self.used)
+        self.peak = max(self.peak, self.used)
 
 
-@pytest.mark.parametrize("answer", [large, chunked])
-async def test_a_large_answer_is_passed_on_whole_and_its_connection_used_again(answer) -> None:
-    async with LoopbackCluster(answer) as bank:
-        client = await bank.client()
+@pytest.mark.parametrize("answer", [large_response, chunked_response])
+async def test_a_large_response_is_streamed_completely_and_its_connection_reused(answer) -> None:
+    async with LoopbackCluster(answer) as cluster:
+        client = await cluster.client()
         for number in range(3):
-            got = await client.ask(f"a{number}", "pay", body=b"x")
-            assert (got.target, got.body) == ("200", f"a{number}".encode() + BODY)
-        assert bank.backends[0].opened == 1
-
-
-async def narrow(bank: LoopbackCluster) -> Client:
-    """A client whose kernel takes next to nothing ahead of it."""
-    raw = socket.socket()
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    raw.connect(("127.0.0.1", bank.port))
-    raw.setblocking(False)
-    return Client(await SocketStream.from_socket(raw))
-
-
-@pytest.mark.parametrize("answer", [large, chunked])
-async def test_slow_readers_hold_no_more_than_their_part_of_the_memory(monkeypatch, answer) -> None:
-    monkeypatch.setattr(service, "BodyBudget", Watched)
-    async with LoopbackCluster(*[answer] * 8, memory=4) as bank:
-        slow = [await narrow(bank) for _ in range(8)]
-        for number, client in enumerate(slow):
-            await client.send(f"a{number}", "pay", 900, b"x")  # of most utility: there is room for eight
-        await wait_until(lambda: Watched.last.used >= 4 * BODY_PIPE_BYTES)
+            message = await client.ask(f"a{number}", "pay", body=b"x")
+            assert (message.target, message.body) == ("200", f"a{number}".encode() + BODY)
+        assert cluster.backends[0].opened == 1
+
+
+async def small_window_client(cluster: LoopbackCluster) -> Client:
+    """Returns a client with a minimal receive buffer."""
+    client_socket = socket.socket()
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client_socket.connect(("127.0.0.1", cluster.port))
+    client_socket.setblocking(False)
+    return Client(await SocketStream.from_socket(client_socket))
+
+
+@pytest.mark.parametrize("answer", [large_response, chunked_response])
+async def test_slow_readers_stay_within_the_body_budget(monkeypatch, answer) -> None:
+    monkeypatch.setattr(service, "BodyBudget", RecordingBudget)
+    async with LoopbackCluster(*[answer] * 8, memory=4) as cluster:
+        slow_clients = [await small_window_client(cluster) for _ in range(8)]
+        for number, client in enumerate(slow_clients):
+            await client.send(f"a{number}", "pay", 900, b"x")  # the highest utility: all eight are admitted
+        await wait_until(lambda: RecordingBudget.latest.used >= 4 * BODY_PIPE_BYTES)
         answers = []
 
         async def read(client) -> None:
@@ -99,34 +99,35 @@
             answers.append(await client.answer())
 
         async with anyio.create_task_group() as tasks:
-            for client in slow:
+            for client in slow_clients:
                 tasks.start_soon(read, client)
-        assert [got.target for got in answers] == ["200"] * 8
-        assert all(len(got.body) == len(BODY) + 2 for got in answers)
-        assert Watched.last.top <= Watched.last.limit + BODY_PIPE_BYTES  # one at a time goes past it
-        await wait_until(lambda: Watched.last.used == 0)
+        assert [message.target for message in answers] == ["200"] * 8
+        assert all(len(message.body) == len(BODY) + 2 for message in answers)
+        # One holder at a time may exceed the limit.
+        assert RecordingBudget.latest.peak <= RecordingBudget.latest.limit + BODY_PIPE_BYTES
+        await wait_until(lambda: RecordingBudget.latest.used == 0)
 
 
-async def test_a_client_that_leaves_amid_a_large_answer_ends_it_at_its_backend(monkeypatch) -> None:
-    monkeypatch.setattr(service, "BodyBudget", Watched)
+async def test_a_client_leaving_during_a_large_response_releases_its_budget(monkeypatch) -> None:
+    monkeypatch.setattr(service, "BodyBudget", RecordingBudget)
     monkeypatch.setitem(globals(), "BODY", bytes(20_000_000))
-    async with LoopbackCluster(large) as bank:
+    async with LoopbackCluster(large_response) as cluster:
         for number in range(3):
-            client = await narrow(bank)
+            client = await small_window_client(cluster)
             await client.send(f"a{number}", "look")
-            await wait_until(lambda: Watched.last.used == BODY_PIPE_BYTES)
+            await wait_until(lambda: RecordingBudget.latest.used == BODY_PIPE_BYTES)
             await client.stream.aclose()
-            await wait_until(lambda: Watched.last.used == 0)
+            await wait_until(lambda: RecordingBudget.latest.used == 0)
         monkeypatch.setitem(globals(), "BODY", b"")
-        assert (await bank.ask("b", "look")).target == "200"
+        assert (await cluster.ask("b", "look")).target == "200"
 
 
-async def test_first_bytes_go_on_at_once_and_what_breaks_off_shows() -> None:
-    half = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(90_000)
-    slow = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n"
-    for text in (half, slow):
-        async with LoopbackCluster(lambda _, text=text: text) as bank:
-            client = await bank.client()
+async def test_first_bytes_are_forwarded_at_once_and_truncation_is_visible() -> None:
+    truncated = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(90_000)
+    first_chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n"
+    for response in (truncated, first_chunk):
+        async with LoopbackCluster(lambda _, response=response: response) as cluster:
+            client = await cluster.client()
             await client.send("a", "pay", 300, b"x")
             with anyio.fail_after(0.29):
                 event = h11.NEED_DATA
@@ -134,8 +135,8 @@
                     client.protocol.receive_data(await client.stream.receive())
                     event = client.protocol.next_event()
             assert event.status_code == 200
-            await anyio.sleep(0.4)  # past the invocation's time: it is its client's
-            await bank.backends[0].streams[0].aclose()
+            await anyio.sleep(0.4)  # past the cut-off, which does not apply to a response that has begun
+            await cluster.backends[0].streams[0].aclose()
             with pytest.raises(h11.RemoteProtocolError), anyio.fail_after(2.0):
                 while True:
                     event = client.protocol.next_event()
@@ -144,220 +145,226 @@
                             client.protocol.receive_data(await client.stream.receive())
                         except (anyio.EndOfStream, anyio.BrokenResourceError):
                             client.protocol.receive_data(b"")
-            assert len(bank.backends[0].received) == 1
+            assert len(cluster.backends[0].received) == 1
 
 
-# Invocations.
+# Requests.
 
 
-def head(id: str, framing: str, name: str = "pay", budget: int = 600) -> bytes:
+def request_head(id: str, framing: str, name: str = "pay", budget: int = 600) -> bytes:
     return (
         f"POST /{name} HTTP/1.1\r\nHost: a\r\nX-Call-Id: {id}\r\nX-Budget-Ms: {budget}\r\n{framing}\r\n\r\n"
     ).encode()
 
 
-def framed(id: str, body: bytes, chunks: bool) -> bytes:
+def encode_request(id: str, body: bytes, chunks: bool) -> bytes:
     if not chunks:
-        return head(id, f"Content-Length: {len(body)}") + body
-    parts = [body[at : at + 9_001] for at in range(0, len(body), 9_001)]
-    text = b"".join(b"%x;odd=1\r\n%s\r\n" % (len(part), part) for part in parts)
-    return head(id, "Transfer-Encoding: chunked") + text + b"0\r\nTrailer: x\r\n\r\n"
+        return request_head(id, f"Content-Length: {len(body)}") + body
+    parts = [body[offset : offset + 9_001] for offset in range(0, len(body), 9_001)]
+    chunked_body = b"".join(b"%x;odd=1\r\n%s\r\n" % (len(part), part) for part in parts)
+    return request_head(id, "Transfer-Encoding: chunked") + chunked_body + b"0\r\nTrailer: x\r\n\r\n"
 
 
 @pytest.mark.parametrize("chunks", [False, True])
-async def test_a_large_invocation_cut_anywhere_arrives_unchanged_and_its_time_counts_from_its_end(
+async def test_a_large_request_in_any_pieces_arrives_unchanged_and_is_timed_from_its_end(
     chunks,
 ) -> None:
-    chance = random.Random(9)
-    async with LoopbackCluster(lambda got: reply(200, got.headers["x-call-id"].encode())) as bank:
-        client = await bank.client()
+    rng = random.Random(9)
+    async with LoopbackCluster(lambda message: reply(200, message.headers["x-call-id"].encode())) as cluster:
+        client = await cluster.client()
         for number in range(2):
-            raw, at = framed(f"a{number}", BODY, chunks), 0
-            while at < len(raw):
-                size = chance.choice((1, 7, 1400, 60_000))
-                await client.stream.send(raw[at : at + size])
-                at += size
-                if at * 2 > len(raw) > (at - size) * 2:
-                    await anyio.sleep(0.8)  # longer than its client waits for the answer
+            data, offset = encode_request(f"a{number}", BODY, chunks), 0
+            while offset < len(data):
+                size = rng.choice((1, 7, 1400, 60_000))
+                await client.stream.send(data[offset : offset + size])
+                offset += size
+                if offset * 2 > len(data) > (offset - size) * 2:
+                    await anyio.sleep(0.8)  # longer than the client's time budget
             assert (await client.answer_to("a")).body == f"a{number}".encode()
-            assert bank.backends[0].received[-1].body == BODY
-        assert bank.backends[0].opened == 1
+            assert cluster.backends[0].received[-1].body == BODY
+        assert cluster.backends[0].opened == 1
 
 
-async def test_a_large_invocation_begins_at_its_backend_before_it_is_whole() -> None:
-    async with LoopbackCluster(lambda _: reply(200)) as bank:
-        client = await bank.client()
-        await client.stream.send(head("a", "Content-Length: 400000\r\nExpect: 100-continue"))
+async def test_a_large_request_reaches_its_backend_before_it_is_complete() -> None:
+    async with LoopbackCluster(lambda _: reply(200)) as cluster:
+        client = await cluster.client()
+        await client.stream.send(request_head("a", "Content-Length: 400000\r\nExpect: 100-continue"))
         assert (await client.stream.receive()).startswith(b"HTTP/1.1 100 ")
         await client.stream.send(BODY[:200_000])
-        await wait_until(lambda: bank.backends[0].opened == 1)
-        assert not bank.backends[0].received
+        await wait_until(lambda: cluster.backends[0].opened == 1)
+        assert not cluster.backends[0].received
         await client.stream.send(BODY[200_000:])
         assert (await client.answer_to("a")).target == "200"
 
 
-async def test_what_breaks_while_it_is_on_its_way_is_nacked_and_not_pushed_again() -> None:
-    async with LoopbackCluster(lambda _: reply(200), lambda _: reply(200)) as bank:
-        client = await bank.client()
-        await client.stream.send(head("a", "Content-Length: 400000") + BODY[:200_000])
-        await wait_until(lambda: sum(backend.opened for backend in bank.backends) == 1)
-        broken = next(backend for backend in bank.backends if backend.opened)
-        await wait_until(lambda: broken.streams)
-        await broken.streams[0].aclose()
+async def test_a_streamed_request_whose_backend_fails_is_nacked_and_not_retried() -> None:
+    async with LoopbackCluster(lambda _: reply(200), lambda _: reply(200)) as cluster:
+        client = await cluster.client()
+        await client.stream.send(request_head("a", "Content-Length: 400000") + BODY[:200_000])
+        await wait_until(lambda: sum(backend.opened for backend in cluster.backends) == 1)
+        failed = next(backend for backend in cluster.backends if backend.opened)
+        await wait_until(lambda: failed.streams)
+        await failed.streams[0].aclose()
         answer = await client.answer_to("a")
         assert answer.target == "503" and "retry-after" in answer.headers
-        # What is still to come of it is read, and the connection is good for the next.
+        # The rest of the request is read and dropped; the connection is reused.
         await client.stream.send(BODY[200_000:])
         assert (await client.ask("b", "pay", body=b"x")).target == "200"
-        assert [got.headers["x-call-id"] for backend in bank.backends for got in backend.received] == ["b"]
+        assert [
+            message.headers["x-call-id"] for backend in cluster.backends for message in backend.received
+        ] == ["b"]
 
 
-async def test_a_backend_that_takes_nothing_more_ends_its_push(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_push_to_a_backend_that_stops_reading_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClientConnection, "UPLOAD_STALL_SECONDS", 0.3)
-    async with LoopbackCluster(lambda _: reply(200)) as bank, anyio.create_task_group() as tasks:
-        with socket.create_server(("127.0.0.1", 0)) as deaf:  # accepted by its kernel, never read
-            news_of = list_reply(2, list_line(0, deaf.getsockname()[1]))
-            bank.discovery.answer = lambda got: news_of if "from=1" in got.target else None
-            for stream in list(bank.discovery.streams):
+    async with LoopbackCluster(lambda _: reply(200)) as cluster, anyio.create_task_group() as tasks:
+        with socket.create_server(("127.0.0.1", 0)) as unreading:  # accepted by the kernel, never read
+            list_update = list_reply(2, list_line(0, unreading.getsockname()[1]))
+            cluster.discovery.answer = lambda message: list_update if "from=1" in message.target else None
+            for stream in list(cluster.discovery.streams):
                 await stream.aclose()
-            await wait_until(lambda: any("from=2" in got.target for got in bank.discovery.received))
-            client = await bank.client()
-            tasks.start_soon(client.stream.send, head("a", "Content-Length: 30000000") + bytes(30_000_000))
+            await wait_until(
+                lambda: any("from=2" in message.target for message in cluster.discovery.received)
+            )
+            client = await cluster.client()
+            tasks.start_soon(
+                client.stream.send, request_head("a", "Content-Length: 30000000") + bytes(30_000_000)
+            )
             assert (await client.answer_to("a")).target == "503"
             tasks.cancel_scope.cancel()
 
 
-async def test_silence_after_the_last_byte_is_terminated_within_the_time_that_was_given() -> None:
-    async with LoopbackCluster(lambda _: None) as bank:
-        client = await bank.client()
-        await client.stream.send(head("a", "Content-Length: 400000", budget=300) + BODY)
-        began = anyio.current_time()
+async def test_a_push_to_a_silent_backend_is_terminated_within_the_clients_time() -> None:
+    async with LoopbackCluster(lambda _: None) as cluster:
+        client = await cluster.client()
+        await client.stream.send(request_head("a", "Content-Length: 400000", budget=300) + BODY)
+        started = anyio.current_time()
         assert (await client.answer_to("a")).target == "502"
-        assert anyio.current_time() - began < 0.31
-        await wait_until(lambda: bank.backends[0].closed == 1, 0.5)
+        assert anyio.current_time() - started < 0.31
+        await wait_until(lambda: cluster.backends[0].closed == 1, 0.5)
 
 
-async def test_a_trickle_ends_and_a_slow_sender_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_trickling_upload_is_ended_and_a_slow_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ClientConnection, "RECEIVE_TIMEOUT_SECONDS", 0.4)
-    async with LoopbackCluster(lambda _: reply(200)) as bank:
-        trickle, steady = await bank.client(), await bank.client()
-        await trickle.stream.send(head("a", "Content-Length: 400000") + BODY[:70_000])
+    async with LoopbackCluster(lambda _: reply(200)) as cluster:
+        trickling, steady = await cluster.client(), await cluster.client()
+        await trickling.stream.send(request_head("a", "Content-Length: 400000") + BODY[:70_000])
 
         async def send() -> None:
-            await steady.stream.send(head("b", "Content-Length: 130000"))
-            for at in range(0, 130_000, 6_500):
-                await steady.stream.send(BODY[at : at + 6_500])
+            await steady.stream.send(request_head("b", "Content-Length: 130000"))
+            for offset in range(0, 130_000, 6_500):
+                await steady.stream.send(BODY[offset : offset + 6_500])
                 await anyio.sleep(0.1)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send)
-            assert (await trickle.answer_to("a")).target == "408"
+            assert (await trickling.answer_to("a")).target == "408"
             assert (await steady.answer_to("b")).target == "200"
-        await wait_until(lambda: bank.backends[0].closed == 1)
-        assert [got.headers["x-call-id"] for got in bank.backends[0].received] == ["b"]
+        await wait_until(lambda: cluster.backends[0].closed == 1)
+        assert [message.headers["x-call-id"] for message in cluster.backends[0].received] == ["b"]
 
 
-async def test_what_is_nacked_at_its_head_is_read_to_no_more_than_the_most(
+async def test_a_request_nacked_at_its_head_is_read_up_to_the_size_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("thornladder.node.clients.connection.MAX_BODY_BYTES", 200_000)
-    async with LoopbackCluster() as bank:
-        client = await bank.client()
+    async with LoopbackCluster() as cluster:
+        client = await cluster.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
-        await client.stream.send(head("a", "Transfer-Encoding: chunked") + 2 * chunk)
+        await client.stream.send(request_head("a", "Transfer-Encoding: chunked") + 2 * chunk)
         assert (await client.answer_to("a")).target == "503"
         with suppress(anyio.BrokenResourceError):
             await client.stream.send(5 * chunk)
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(2.0):
             await client.stream.receive()
-        assert not bank.log.find("a client's connection failed")
+        assert not cluster.log.find("a client's connection failed")
 
 
-async def test_a_body_without_end_is_turned_down(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_endless_body_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("thornladder.node.clients.connection.MAX_BODY_BYTES", 200_000)
-    async with LoopbackCluster(lambda _: reply(200)) as bank:
-        client = await bank.client()
+    async with LoopbackCluster(lambda _: reply(200)) as cluster:
+        client = await cluster.client()
         chunk = b"%x\r\n%s\r\n" % (50_000, BODY[:50_000])
-        await client.stream.send(head("a", "Transfer-Encoding: chunked") + 5 * chunk)
+        await client.stream.send(request_head("a", "Transfer-Encoding: chunked") + 5 * chunk)
         assert (await client.answer_to("a")).target == "413"
-        assert not bank.backends[0].received and messages.MAX_BODY_BYTES > 32 * 2**20
+        assert not cluster.backends[0].received and messages.MAX_BODY_BYTES > 32 * 2**20
 
 
 async def test_memory_stays_bounded_under_many_large_bodies_both_ways(tmp_path: Path) -> None:
-    """Bodies whose time is over are no test of memory: a busy machine's peers have all the time they need."""
+    """Cut-offs are long, so that bodies are not cut off on a busy machine and memory is really used."""
     size, bodies, info = 4_000_000, 24, deepcopy(SETTINGS)
     info["Classes"][1] |= {"Aim": 20_000_000, "HardLimit": 60_000_000}
 
-    def echo(got: ReceivedMessage) -> bytes:
-        return reply(200, bytes(size)) if got.target == "/pay" else reply(200)
+    def answer(message: ReceivedMessage) -> bytes:
+        return reply(200, bytes(size)) if message.target == "/pay" else reply(200)
 
-    async with running_node(tmp_path, FakeServer(echo), FakeServer(echo), info=info) as (process, port):
+    async with running_node(tmp_path, FakeServer(answer), FakeServer(answer), info=info) as (process, port):
         path = Path(f"/proc/{process.pid}/status")
 
-        def resident() -> int:
+        def peak_resident_bytes() -> int:
             line = next(line for line in path.read_text().splitlines() if line.startswith("VmHWM"))
             return int(line.split()[1]) * 1024
 
-        async def play(number: int) -> None:
+        async def transfer(number: int) -> None:
             client = await connect(port)
-            await client.stream.send(head(f"a{number}", f"Content-Length: {size}", budget=50_000))
+            await client.stream.send(request_head(f"a{number}", f"Content-Length: {size}", budget=50_000))
             for _ in range(0, size, 100_000):
                 await client.stream.send(bytes(100_000))
                 await anyio.sleep(0.005)
-            taken = 0
+            received = 0
             with anyio.move_on_after(60.0):
-                while taken < size:
+                while received < size:
                     data = await client.stream.receive(50_000)
-                    if not taken and not data.startswith(b"HTTP/1.1 200"):
+                    if not received and not data.startswith(b"HTTP/1.1 200"):
                         return
-                    taken += len(data)
+                    received += len(data)
                     await anyio.sleep(0.002)
-            whole.append(number)
+            completed.append(number)
 
-        whole: list[int] = []
-        before = resident()
+        completed: list[int] = []
+        baseline = peak_resident_bytes()
         async with anyio.create_task_group() as tasks:
             for number in range(bodies):
-                tasks.start_soon(play, number)
-        assert len(whole) > bodies / 3
-        assert resident() - before < 25_000_000  # all of them together are 192 MB
+                tasks.start_soon(transfer, number)
+        assert len(completed) > bodies / 3
+        assert peak_resident_bytes() - baseline < 25_000_000  # all bodies together are 192 MB
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
 
 
-async def test_a_stream_holds_one_read_whoever_sends_how_fast(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Fails where the library reads on into its queue, by 4 MB for each of 24 bodies on a busy machine."""
-    top, reading, hand_on = [0], [], streams.SingleReadProtocol.data_received
+async def test_a_stream_queues_at_most_one_read(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without the limit anyio's queue grew by 4 MB for each of 24 bodies on a busy machine."""
+    peak_queued, still_reading, forward = [0], [], streams.SingleReadProtocol.data_received
 
-    def watched(self: streams.SingleReadProtocol, data: bytes) -> None:
-        hand_on(self, data)
-        top[0] = max(top[0], sum(map(len, self.inner.read_queue)))
-        reading.append(self.transport.is_reading())
+    def observe(self: streams.SingleReadProtocol, data: bytes) -> None:
+        forward(self, data)
+        peak_queued[0] = max(peak_queued[0], sum(map(len, self.inner.read_queue)))
+        still_reading.append(self.transport.is_reading())
 
-    monkeypatch.setattr(streams.SingleReadProtocol, "data_received", watched)
-    async with LoopbackCluster(large) as bank:
-        client = await bank.client()
-        await client.stream.send(head("a", "Content-Length: 400000") + BODY)
+    monkeypatch.setattr(streams.SingleReadProtocol, "data_received", observe)
+    async with LoopbackCluster(large_response) as cluster:
+        client = await cluster.client()
+        await client.stream.send(request_head("a", "Content-Length: 400000") + BODY)
         assert (await client.answer_to("a")).target == "200"
-    assert 0 < top[0] <= streams.MAX_READ_BYTES and not any(reading)
+    assert 0 < peak_queued[0] <= streams.MAX_READ_BYTES and not any(still_reading)
 
 
-# The module.
+# Decisions.
 
 
-def test_one_that_flows_is_pushed_once_and_its_way_here_teaches_nothing() -> None:
-    bench = FakeHost(hedging=False)
-    bench.send_list([entry(number) for number in range(3)])
-    account = bench.records["a"] = InvocationRecord(OFFERINGS[0], bench.now + 100.0)
-    bench.node.on_invocation(bench.now, Invocation("a", "look", "t", 100.0, None, False, True))
-    assert len(account.pushes) == 1
-    bench.advance(8.0)  # on its way
-    assert not bench.log_lines and bench.open_pushes() == [("a", 0)]
-    account.cut_off = bench.now + 1.0
-    bench.node.on_whole(bench.now, "a", 1.0)
-    bench.advance(0.05)
-    bench.end_push("a", 0, Outcome.COMPLETED)
-    health, now = bench.node.health, bench.now
+def test_a_streamed_invocation_is_pushed_once_and_its_upload_time_is_not_learned() -> None:
+    host = FakeHost(hedging=False)
+    host.send_list([entry(number) for number in range(3)])
+    record = host.records["a"] = InvocationRecord(OFFERINGS[0], host.now + 100.0)
+    host.node.on_invocation(host.now, Invocation("a", "look", "t", 100.0, None, False, True))
+    assert len(record.pushes) == 1
+    host.advance(8.0)  # the upload is still in progress
+    assert not host.log_lines and host.open_pushes() == [("a", 0)]
+    record.cut_off = host.now + 1.0
+    host.node.on_whole(host.now, "a", 1.0)
+    host.advance(0.05)
+    host.end_push("a", 0, Outcome.COMPLETED)
+    health, now = host.node.health, host.now
     assert health.offering_cost["look"].read(now) < 0.1 and health.recent_slowest(now) < 0.1
     for outcome, final in (
         (Outcome.REJECTED, "nacked"),
@@ -365,8 +372,8 @@
         (Outcome.NOT_SENT, "nacked"),
     ):
         id = outcome.value
-        account = bench.records[id] = InvocationRecord(OFFERINGS[0], bench.now + 100.0)
-        bench.node.on_invocation(bench.now, Invocation(id, "look", "t", 100.0, None, False, True))
-        bench.end_push(id, 0, outcome)
-        assert (account.final, len(account.pushes)) == (final, 1)
-    assert not any(stats.in_flight for stats in health.stats.values()) and bench.node.in_flight == 0
+        record = host.records[id] = InvocationRecord(OFFERINGS[0], host.now + 100.0)
+        host.node.on_invocation(host.now, Invocation(id, "look", "t", 100.0, None, False, True))
+        host.end_push(id, 0, outcome)
+        assert (record.final, len(record.pushes)) == (final, 1)
+    assert not any(stats.in_flight for stats in health.stats.values()) and host.node.in_flight == 0
