--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,10 +16,10 @@
 from test_process import running_node
 
 from thornladder.fields import MalformedError
-from thornladder.membership.companion import Seat
+from thornladder.membership.companion import MemberLock
 from thornladder.membership.config import load as load_fleet
 from thornladder.membership.core import Core
-from thornladder.membership.count import Count
+from thornladder.membership.count import FleetSize
 from thornladder.membership.wire import Item, State
 from thornladder.rig import play, summary
 from thornladder.rig.faults import Fault
@@ -91,17 +91,17 @@
     from random import Random
 
     core = Core("a", "10.0.0.1:1", "f", [], Random(1), 0.0)
-    count = Count(stated=4, hold=30.0, lower_after=5.0)
-    assert count.look(core) == 4  # alone it goes by the settings
-    core.adopt([Item(f"m{k}", 1, k, 0, State.ALIVE, f"10.0.1.{k}:1") for k in range(7)])
-    assert count.look(core) == 8
-    core.adopt([Item("m1", 1, 1, 0, State.ENDED), Item("m2", 1, 2, 0, State.LEFT)])
-    core.adopt([Item("m3", 2, 3, 0, State.LOST)])
+    count = FleetSize(configured=4, hold=30.0, lower_after=5.0)
+    assert count.update(core) == 4  # alone it goes by the settings
+    core.bootstrap([Item(f"m{k}", 1, k, 0, State.ALIVE, f"10.0.1.{k}:1") for k in range(7)])
+    assert count.update(core) == 8
+    core.bootstrap([Item("m1", 1, 1, 0, State.ENDED), Item("m2", 1, 2, 0, State.LEFT)])
+    core.bootstrap([Item("m3", 2, 3, 0, State.LOST)])
     for at, nodes in ((0.0, 8), (4.9, 8), (5.1, 6), (29.0, 6), (31.0, 6), (36.1, 5)):
-        core.now = core.answered = at
-        assert count.look(core) == nodes, at
-    core.adopt([Item("m9", 1, 9, 0, State.ALIVE)])
-    assert count.look(core) == 6
+        core.now = core.last_reply_at = at
+        assert count.update(core) == nodes, at
+    core.bootstrap([Item("m9", 1, 9, 0, State.ALIVE)])
+    assert count.update(core) == 6
 
 
 @pytest.mark.anyio
@@ -125,8 +125,12 @@
 
 
 def test_two_processes_of_a_node_are_one_member_and_the_second_takes_over(tmp_path: Path) -> None:
-    first, second, other = Seat(str(tmp_path), "n"), Seat(str(tmp_path), "n"), Seat(str(tmp_path), "m")
-    held = first.take()
-    assert held is not None and second.take() is None and other.take() is not None
+    first, second, other = (
+        MemberLock(str(tmp_path), "n"),
+        MemberLock(str(tmp_path), "n"),
+        MemberLock(str(tmp_path), "m"),
+    )
+    held = first.try_acquire()
+    assert held is not None and second.try_acquire() is None and other.try_acquire() is not None
     os.close(held)  # as any death does
-    assert second.take() is not None
+    assert second.try_acquire() is not None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -64,7 +64,7 @@
     faults = [fault("kill", 5, nodes=("n01",)), fault("start", 20, nodes=("n01",)),
               fault("cut", 40, 30, source=("n02",), both=True)]  # fmt: skip
     world = World(names, faults, seed)
-    processes = {name: place.core.me.process for name, place in world.places.items()}
+    processes = {name: place.core.own_item.process for name, place in world.places.items()}
     world.run(20)
     known = ended(world, "n01")
     assert len(known) == size - 1 and max(known.values()) < 7.0
@@ -120,7 +120,7 @@
     world.checks.append(look)
     world.run(60)
     assert {(by, of, way) for (by, of), way in forms.items()} <= seen
-    assert name != "b deaf to all" or world.places["n01"].core.alone
+    assert name != "b deaf to all" or world.places["n01"].core.isolated
 
 
 def test_an_address_taken_over_within_a_second_is_no_sign_of_life() -> None:
@@ -137,7 +137,7 @@
     faults = [fault("pause", 5.0 + 0.37 * k + 10 * k, 8.0, nodes=("n01",)) for k in range(6)]
     world = World(NAMES, faults, 5)
     world.run(70)
-    assert world.places["n01"].core.counts.accused == 0 and world.places["n01"].core.counts.late >= 6
+    assert world.places["n01"].core.counters.accused == 0 and world.places["n01"].core.counters.late >= 6
 
 
 class NeverRefutes(Core):
@@ -153,16 +153,16 @@
 
     def __init__(self, *given: object, **more: object) -> None:
         super().__init__(*given, **more)
-        self._count_out(self.me)
+        self._count_out(self.own_item)
         self.birth = 7
-        self._count_in(self.me)
+        self._count_in(self.own_item)
 
     def _about_me(self, item: Item, narrow: bool = False) -> None:
         pass
 
 
 class AccusesAfterPause(Core):
-    alone = False  # which by itself holds it back too
+    isolated = False  # which by itself holds it back too
 
     def _clock(self, now: float) -> None:
         self.now = max(self.now, now)
@@ -202,7 +202,7 @@
     world = World(NAMES, faults, 2, make=maker)
     world.run(60)
     paused = {name for each in faults if each.kind == "pause" for name in each.nodes}
-    return world.one_view() and not any(world.places[name].core.counts.accused for name in paused)
+    return world.one_view() and not any(world.places[name].core.counters.accused for name in paused)
 
 
 @pytest.mark.parametrize("name", PLANTED)
@@ -241,7 +241,7 @@
     core.on_message(0.1, "10.0.0.2:1", again)
     assert core.members == ["a", "b"]
     core.on_message(0.1, "10.0.0.3:1", Message(1, "other", Kind.PING, "c", 1, 5, 0, 1, items=[item]))
-    assert core.counts.dropped == 1 and "c" not in core.members
+    assert core.counters.dropped == 1 and "c" not in core.members
 
 
 def test_links_and_timelines_are_as_stated() -> None:
--- a/thornladder/membership/baselines.py
+++ b/thornladder/membership/baselines.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from thornladder.membership.core import Change, Core, Counts, Outbox, Peer, Probe, Send, Times
+from thornladder.membership.core import Change, Core, Counters, Outbox, Peer, Probe, Send, Times
 from thornladder.membership.wire import VERSION, Item, Kind, Message, State
 
 
@@ -15,7 +15,7 @@
     def _say(self, probe: Probe, state: State) -> None:
         peer = self.peers.get(probe.name)
         if peer is not None and peer.item.process == probe.process and peer.alive:
-            self.counts.accused += 1
+            self.counters.accused += 1
             self._record(self._verdict(peer.item))
 
     @staticmethod
@@ -41,22 +41,22 @@
         self.now = self.next = now
         self.peers: dict[str, Peer] = {}
         super().__init__()
-        self.counts = Counts()
+        self.counters = Counters()
         self.start, self.birth = 1, chance.getrandbits(32)
 
     @property
-    def me(self) -> Item:
+    def own_item(self) -> Item:
         return Item(self.name, self.start, self.birth, 0, State.ALIVE, self.address)
 
     @property
-    def due(self) -> float:
+    def next_wake_at(self) -> float:
         return self.next
 
     @property
     def members(self) -> list[str]:
         return sorted([self.name, *(name for name, peer in self.peers.items() if peer.alive)])
 
-    def adopt(self, items: Sequence[Item]) -> None:
+    def bootstrap(self, items: Sequence[Item]) -> None:
         for item in items:
             if item.name != self.name:
                 self.peers[item.name] = Peer(item, self.now, heard=self.now)
@@ -64,9 +64,11 @@
     def wake(self, now: float) -> None:
         self.now = now
         self.next = now + self.PERIOD
-        beat = Message(VERSION, "fleet", Kind.NEWS, self.name, self.start, self.birth, 0, 0, items=[self.me])
+        beat = Message(
+            VERSION, "fleet", Kind.NEWS, self.name, self.start, self.birth, 0, 0, items=[self.own_item]
+        )
         for address in {*self.seeds, *(peer.item.address for peer in self.peers.values())} - {self.address}:
-            self.acts.append(Send(address, beat))
+            self.actions.append(Send(address, beat))
         for peer in self.peers.values():
             if peer.alive and now - peer.heard > self.TIME_OUT:
                 self._set(peer, State.LOST)
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -14,7 +14,7 @@
 
 from thornladder.membership.config import FleetConfig
 from thornladder.membership.core import Core
-from thornladder.membership.count import Count
+from thornladder.membership.count import FleetSize
 from thornladder.membership.transport import Transport
 from thornladder.membership.wire import State, split_address
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, error_response
@@ -29,13 +29,13 @@
 LAST = 0.05  # seconds until what a leaving member says is surely on its way
 
 
-class Seat:
+class MemberLock:
     """Which process of a node is the member: the one that holds a lock, which any death frees."""
 
     def __init__(self, folder: str, name: str) -> None:
         self.path = StateFile(folder, name, "member").path
 
-    def take(self) -> int | None:
+    def try_acquire(self) -> int | None:
         descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -65,7 +65,7 @@
 
     def start(self, context: NodeContext) -> None:
         self.context, self.log = context, context.log
-        self.count = Count(context.configured_nodes, self.config.hold, self.config.lower_after)
+        self.count = FleetSize(context.configured_nodes, self.config.hold, self.config.lower_after)
         self.scope = anyio.CancelScope()
         context.tasks.supervise("membership", self._run)
 
@@ -79,8 +79,8 @@
 
     async def _run(self) -> None:
         with self.scope:
-            seat = Seat(self.context.folder, self.context.name)
-            while (held := seat.take()) is None:
+            seat = MemberLock(self.context.folder, self.context.name)
+            while (held := seat.try_acquire()) is None:
                 await anyio.sleep(LOOK)
             try:
                 while True:
@@ -108,13 +108,13 @@
 
     def _changed(self) -> None:
         for change in self.core.take_changes():
-            self.log.info("member", member=change.name, state=change.what, by=change.witnesses,
-                          view=change.view, members=len(self.core.members))  # fmt: skip
+            self.log.info("member", member=change.name, state=change.state, by=change.witnesses,
+                          view=change.view_changed, members=len(self.core.members))  # fmt: skip
 
     async def _count(self) -> None:
         told = None
         while True:
-            nodes = self.count.look(self.core)
+            nodes = self.count.update(self.core)
             if nodes != told:
                 self.log.info("nodes of the fleet", nodes=nodes, was=told)
                 self.context.set_node_count(nodes)
@@ -127,9 +127,10 @@
             return error_response(503, "another process of this node is the member")
         return AdminResponse(200, {
             "fleet": self.config.fleet, "name": core.name, "process": f"{core.start}.{core.birth:08x}",
-            "nodes": self.count.nodes, "joined": core.joined, "alone": core.alone, "deaf": core.deaf,
-            "late": core.counts.late, "accused": core.counts.accused, "refuted": core.counts.refuted,
-            "garbage": transport.garbage, "view_changes": core.counts.views,
+            "nodes": self.count.nodes, "joined": core.joined, "alone": core.isolated,
+            "deaf": core.hears_nobody, "late": core.counters.late, "accused": core.counters.accused,
+            "refuted": core.counters.refuted, "garbage": transport.garbage,
+            "view_changes": core.counters.views,
             "members": [described(core, name) for name in sorted(core.peers)],
         })  # fmt: skip
 
--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -32,13 +32,13 @@
     """Seconds. The limits they serve: a killed member known in 2, a silent one in 10, a pause of 5 borne."""
 
     period: float = 0.25  # between pings; every member is pinged by its predecessor each second one
-    answer: float = 0.2  # for a ping, before other ways are tried: some hundred round trips of one building
+    reply_to: float = 0.2  # for a ping, before other ways are tried: some hundred round trips of one building
     whole: float = 1.0  # for all ways together, before a word is said
     suspicion: float = 6.0  # silence after the first word before LOST, with three witnesses
     slow: float = 1.0  # more with only two
     late: float = 0.15  # of a timer: from there on the process itself was paused or short of its core
     catch_up: float = 1.0  # at most, after that: no word about others
-    alone: float = 2.0  # nobody heard for that long: this member is the one that is cut off
+    isolated: float = 2.0  # nobody heard for that long: this member is the one that is cut off
     seek: float = 1.0  # between tries to reach who is lost, or a seed that is no member
     sync: float = 1.0  # between whole views
     remember: float = 600.0  # an ENDED or LEFT process, so that late words of it raise nobody
@@ -74,7 +74,7 @@
     message: Message
 
 
-class Check(NamedTuple):
+class ConnectionProbe(NamedTuple):
     """Connect and ask `message`; `Core.on_checked` is owed what came of it."""
 
     address: str
@@ -87,23 +87,23 @@
     address: str
 
 
-Act = Send | Check | Sync
+Action = Send | ConnectionProbe | Sync
 
 
-class Verdict(Enum):
+class ConnectionOutcome(Enum):
     """What a connection showed."""
 
     REFUSED = "refused"  # by the kernel: no process is there
-    NOTHING = "nothing"  # no answer of any kind in time
+    NO_ANSWER = "nothing"  # no answer of any kind in time
 
 
 class Change(NamedTuple):
-    """For the log: `view` tells whether the set of members changed."""
+    """For the log: `view_changed` tells whether the set of members changed."""
 
     name: str
-    what: str
+    state: str
     witnesses: tuple[str, ...]
-    view: bool
+    view_changed: bool
 
 
 @dataclass(slots=True)
@@ -149,7 +149,7 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class Counters:
     dropped: int = 0  # messages of another fleet or from too many
     accused: int = 0  # words that this member said
     refuted: int = 0
@@ -161,11 +161,11 @@
     """What a core wants done, and what changed for it, until its host takes them."""
 
     def __init__(self) -> None:
-        self.acts: list[Act] = []
+        self.actions: list[Action] = []
         self.changes: list[Change] = []
 
-    def take_acts(self) -> list[Act]:
-        acts, self.acts = self.acts, []
+    def take_actions(self) -> list[Action]:
+        acts, self.actions = self.actions, []
         return acts
 
     def take_changes(self) -> list[Change]:
@@ -192,12 +192,12 @@
         self.queue: dict[tuple[str, str], list] = {}  # [item, sends left] by member and witness
         self.urgent: list[Item] = []
         super().__init__()
-        self.counts = Counts()
+        self.counters = Counters()
         self.number = self.stamp = self.score = 0
         self.next_tick = now + self.times.period * chance.random()
         self.next_seek = now
         self.quiet_until = now  # no words of this member before
-        self.heard_any = self.answered = now
+        self.heard_any = self.last_reply_at = now
         self.back = now  # since when it is not alone
         self.changed = now
         self.synced = NEVER
@@ -209,12 +209,12 @@
         self.others: list[str] | None = None  # of the view, in the order of the ring; None: to be made anew
         self.accused: set[str] = set()  # alive, with words against them
         self.digest = 0  # of the view: differs where views do
-        self._count_in(self.me)
+        self._count_in(self.own_item)
 
     # What it is told.
 
     @property
-    def due(self) -> float:
+    def next_wake_at(self) -> float:
         """When `wake` is owed, on the caller's clock."""
         stages = (min(probe.tries, probe.ends) for probe in self.probes.values())
         return min(self.next_tick, *stages, math.inf) + self.offset
@@ -238,7 +238,7 @@
         """`source`: where it came from, host:port; an answer goes there."""
         self._clock(now)
         if message.fleet != self.fleet or len(self.peers) >= MOST_PEERS:
-            self.counts.dropped += 1
+            self.counters.dropped += 1
             return
         for item in message.items:
             self._take(item, message.kind == Kind.WORD)
@@ -257,25 +257,25 @@
             self.joined, self.synced = True, self.now
         self._flush()
 
-    def on_checked(self, now: float, number: int, verdict: Verdict) -> None:
+    def on_connection_outcome(self, now: float, number: int, verdict: ConnectionOutcome) -> None:
         """What became of a `Check`, other than the answer."""
         self._clock(now)
         probe = self.probes.get(number)
-        if probe is not None and verdict is Verdict.REFUSED:
+        if probe is not None and verdict is ConnectionOutcome.REFUSED:
             del self.probes[number]
             self._say(probe, State.REFUSED)
         self._flush()
 
-    def answer(self, message: Message) -> Message:
+    def reply_to(self, message: Message) -> Message:
         """To one that came by a connection: the view to a view, else an ack."""
         if message.kind == Kind.VIEW:
-            return self.view()
+            return self.view_message()
         return self._message(Kind.ACK, number=message.number, target=message.name)
 
-    def view(self) -> Message:
-        return self._message(Kind.VIEW, items=[self.me, *(peer.item for peer in self.peers.values())])
+    def view_message(self) -> Message:
+        return self._message(Kind.VIEW, items=[self.own_item, *(peer.item for peer in self.peers.values())])
 
-    def adopt(self, items: Sequence[Item]) -> None:
+    def bootstrap(self, items: Sequence[Item]) -> None:
         """Holds these from the start on, as one that joined long ago."""
         for item in items:
             if item.name != self.name:
@@ -287,7 +287,7 @@
         """Says so; the caller sends what stands in `acts` and is done."""
         self._clock(now)
         self.left = True
-        gone = self.me
+        gone = self.own_item
         alive = self._alive()
         for name in self.chance.sample(alive, min(len(alive), 2 * FANOUT + 2)):
             self._send(self.peers[name].item.address, Kind.NEWS, items=[gone])
@@ -295,7 +295,7 @@
     # What it holds.
 
     @property
-    def me(self) -> Item:
+    def own_item(self) -> Item:
         state = State.LEFT if self.left else State.ALIVE
         return Item(self.name, self.start, self.birth, self.round, state, self.address, self.zone,
                     facts=self.facts)  # fmt: skip
@@ -306,32 +306,32 @@
         return sorted([self.name, *self._alive()])
 
     @property
-    def alone(self) -> bool:
+    def isolated(self) -> bool:
         """Nobody answers: it may well be this member that is cut off, so it has no word on others."""
-        return len(self.ring) > 1 and self.now - self.answered > self.times.alone
+        return len(self.ring) > 1 and self.now - self.last_reply_at > self.times.isolated
 
     @property
-    def deaf(self) -> bool:
+    def hears_nobody(self) -> bool:
         """Nor is anybody heard."""
-        return self.alone and self.now - self.heard_any > self.times.alone
+        return self.isolated and self.now - self.heard_any > self.times.isolated
 
     def set_facts(self, facts: dict[str, str]) -> None:
         """New facts of this member are told like a refutation: by a higher round."""
         if facts != self.facts:
-            self._count_out(self.me)
+            self._count_out(self.own_item)
             self.facts = dict(facts)
             self.round += 1
-            self._count_in(self.me)
-            self._announce(self.me)
+            self._count_in(self.own_item)
+            self._announce(self.own_item)
 
     # Time.
 
     def _clock(self, now: float) -> None:
-        late = now - self.due
+        late = now - self.next_wake_at
         if late > self.times.late:
             # Guards against accusing all others after a pause, and against waits that ran out in it.
             self.offset += late
-            self.counts.late += 1
+            self.counters.late += 1
             # For as long again: what came meanwhile is read at once. Guards against a fleet on a slow disk,
             # all of it late for a moment each second, that never misses anybody.
             self.quiet_until = now - self.offset + min(2.0 * late, self.times.catch_up)
@@ -380,14 +380,16 @@
         patience = self._patience()
         self.probes[self.number] = Probe(
             name, peer.item.address, peer.item.process, self.now, self.now + self.times.whole * patience,
-            self.now + self.times.answer * patience,
+            self.now + self.times.reply_to * patience,
         )  # fmt: skip
         self._send(peer.item.address, Kind.PING, number=self.number, target=name, items=self._riders())
 
     def _other_ways(self, number: int, probe: Probe) -> None:
         # Bare: guards against a link that drops large datagrams alone.
         self._send(probe.address, Kind.PING, number=number, target=probe.name)
-        self.acts.append(Check(probe.address, self._message(Kind.PING, number=number, target=probe.name)))
+        self.actions.append(
+            ConnectionProbe(probe.address, self._message(Kind.PING, number=number, target=probe.name))
+        )
         helpers = [name for name in self._alive() if name != probe.name and not self.peers[name].words]
         for name in self.chance.sample(helpers, min(HELPERS, len(helpers))):
             self._send(self.peers[name].item.address, Kind.ASK, number=number, target=probe.name)
@@ -410,13 +412,13 @@
                 self._say(probe, State.SILENT)
 
     def _answered(self) -> None:
-        if self.alone:
+        if self.isolated:
             self.back = self.now
-        self.answered = self.now
+        self.last_reply_at = self.now
 
     def _sure(self) -> bool:
         """Whether what this member does not hear may well be the others' silence, not its own trouble."""
-        return self.now >= self.quiet_until and not self.alone
+        return self.now >= self.quiet_until and not self.isolated
 
     def _say(self, probe: Probe, state: State) -> None:
         peer = self.peers.get(probe.name)
@@ -430,7 +432,7 @@
             if len(peer.words) < WITNESSES:
                 self._ask_others(peer, self._said(peer, self.name, state))
             return
-        self.counts.accused += 1
+        self.counters.accused += 1
         self._word(self._stamped(peer.item, state))
 
     def _stamped(self, item: Item, state: State) -> Item:
@@ -474,12 +476,12 @@
         seeds = [seed for seed in self.seeds if seed not in known]
         if not self.joined or not known:
             for seed in seeds:
-                self._send(seed, Kind.PING, items=[self.me])
+                self._send(seed, Kind.PING, items=[self.own_item])
         elif seeds and self.chance.random() < 0.5:
-            self._send(self.chance.choice(seeds), Kind.PING, items=[self.me])
+            self._send(self.chance.choice(seeds), Kind.PING, items=[self.own_item])
         if lost:
             peer = self.chance.choice(lost)
-            self._send(peer.item.address, Kind.PING, target=peer.item.name, items=[peer.item, self.me])
+            self._send(peer.item.address, Kind.PING, target=peer.item.name, items=[peer.item, self.own_item])
 
     # What others say.
 
@@ -524,7 +526,7 @@
     def _sync_soon(self, address: str) -> None:
         if self.now - self.synced > self.times.sync and address:
             self.synced = self.now
-            self.acts.append(Sync(address))
+            self.actions.append(Sync(address))
 
     def _tell(self, peer: Peer, address: str, state: Item | None = None) -> None:
         """What stands against a process, to itself: it refutes that, or is an old one and learns of it."""
@@ -553,7 +555,7 @@
             # To one that seeks. Others too: seeds alone cannot give whole views to hundreds in a minute.
             alive = self._alive()
             some = self.chance.sample(alive, min(len(alive), HELPERS))
-            items = [self.me, *(self.peers[name].item for name in some)]
+            items = [self.own_item, *(self.peers[name].item for name in some)]
         self._send(source, Kind.ACK, number=message.number, target=message.name, about=about, items=items)
 
     def _acked(self, message: Message, by_connection: bool) -> None:
@@ -623,8 +625,8 @@
             return
         if narrow and item.process == mine and item.by in self.peers:
             # Only its witness holds that word: to be heard there is enough, the fleet hears nothing of it.
-            self.counts.refuted += 1
-            self._send(self.peers[item.by].item.address, Kind.NEWS, items=[self.me])
+            self.counters.refuted += 1
+            self._send(self.peers[item.by].item.address, Kind.NEWS, items=[self.own_item])
             return
         if item.process > mine and item.state not in WORDS:
             # An earlier process of this name, or another that took it: this one is newer from here on.
@@ -635,11 +637,11 @@
             start, round = self.start, item.round + 1
         else:
             return
-        self.counts.refuted += 1
-        self._count_out(self.me)
+        self.counters.refuted += 1
+        self._count_out(self.own_item)
         self.start, self.round = start, round
-        self._count_in(self.me)
-        self._announce(self.me)
+        self._count_in(self.own_item)
+        self._announce(self.own_item)
 
     def _record(self, item: Item) -> None:
         peer = self.peers.get(item.name)
@@ -745,7 +747,7 @@
         was = before is not None and before.state == State.ALIVE
         view = was != peer.alive
         if view or (before is not None and before.process != item.process):
-            self.counts.views += view
+            self.counters.views += view
             self.changed = self.now
             what = "alive" if peer.alive else State(item.state).name.lower()
             witnesses = tuple(item.by.split(",")) if item.by else ()
@@ -809,7 +811,7 @@
                        number, digest=self.digest, address=self.address, **fields)  # fmt: skip
 
     def _send(self, address: str, kind: Kind, number: int = 0, **fields: object) -> None:
-        self.acts.append(Send(address, self._message(kind, number=number, **fields)))
+        self.actions.append(Send(address, self._message(kind, number=number, **fields)))
 
 
 def _rank(entry: tuple[tuple[str, str], list]) -> tuple[bool, int]:
--- a/thornladder/membership/count.py
+++ b/thornladder/membership/count.py
@@ -10,21 +10,21 @@
 from thornladder.membership.wire import State
 
 
-class Count:
-    def __init__(self, stated: int, hold: float, lower_after: float) -> None:
-        """`stated`: by the settings; it holds until a whole view of another member was had."""
-        self.stated, self.hold, self.lower_after = stated, hold, lower_after
-        self.nodes = stated
+class FleetSize:
+    def __init__(self, configured: int, hold: float, lower_after: float) -> None:
+        """`configured`: by the settings; it holds until a whole view of another member was had."""
+        self.configured, self.hold, self.lower_after = configured, hold, lower_after
+        self.nodes = configured
         self.lower_since: float | None = None
 
-    def look(self, core: Core) -> int:
+    def update(self, core: Core) -> int:
         lost = sum(
             peer.item.state == State.LOST and core.now - peer.since < self.hold
             for peer in core.peers.values()
         )
         wanted = len(core.members) + lost
-        if not core.joined or core.alone:
-            wanted = max(wanted, self.stated)  # what it holds of others says little
+        if not core.joined or core.isolated:
+            wanted = max(wanted, self.configured)  # what it holds of others says little
         if wanted >= self.nodes:
             self.nodes, self.lower_since = wanted, None
         elif self.lower_since is None:
--- a/thornladder/membership/explore.py
+++ b/thornladder/membership/explore.py
@@ -11,11 +11,11 @@
 from typing import Any, NamedTuple
 
 from thornladder.exploration import Result, breadth_first, disturb
-from thornladder.membership.core import Check, Core, Send, Sync, Times, Verdict
+from thornladder.membership.core import ConnectionOutcome, ConnectionProbe, Core, Send, Sync, Times
 from thornladder.membership.wire import Message, State
 
 # Short waits, so that a verdict lies within the depth that can be gone through.
-SHORT = Times(period=0.25, answer=0.1, whole=0.2, suspicion=0.4, slow=0.1, alone=0.3, seek=0.5, sync=0.3)
+SHORT = Times(period=0.25, reply_to=0.1, whole=0.2, suspicion=0.4, slow=0.1, alone=0.3, seek=0.5, sync=0.3)
 NAMES = ("a", "b", "c")
 CHOICE = 2  # messages in flight that may come next: the order of more is reached step by step
 MOST_FLYING = 6  # more are dropped, as a full queue would
@@ -54,7 +54,9 @@
             )
             probes = tuple((p.name, round(p.ends - core.now, 2), p.about) for p in core.probes.values())
             quiet = round(max(core.quiet_until - core.now, 0.0), 2)
-            parts.append((name, core.me.order, peers, probes, quiet, round(core.due - self.now, 2)))
+            parts.append(
+                (name, core.own_item.order, peers, probes, quiet, round(core.next_wake_at - self.now, 2))
+            )
         flying = tuple((f.target, f.message.kind, f.message.name, f.message.number, f.message.items)
                        for f in self.flying)  # fmt: skip
         return repr((parts, self.stopped, flying, self.copies, self.pauses, self.kills, self.starts))
@@ -68,9 +70,9 @@
     spot = Spot()
     for name in NAMES:
         spot.cores[name] = make(name, address(name), "f", [address("a")], Random(name), 0.0, times=SHORT)
-    items = [core.me for core in spot.cores.values()]
+    items = [core.own_item for core in spot.cores.values()]
     for core in spot.cores.values():
-        core.adopt(items)
+        core.bootstrap(items)
     return spot
 
 
@@ -95,8 +97,8 @@
     what, _, which = choice.partition(" ")
     if what == "wake":
         running = [core for name, core in spot.cores.items() if core is not None and name != spot.stopped]
-        first = min(running, key=lambda core: core.due)
-        spot.now = max(spot.now, first.due)
+        first = min(running, key=lambda core: core.next_wake_at)
+        spot.now = max(spot.now, first.next_wake_at)
         return _step(spot, first, first.wake, spot.now)
     if what == "deliver":
         each = spot.flying[int(which)]
@@ -124,12 +126,12 @@
 
 
 def _step(spot: Spot, core: Core, what: Any, *given: Any) -> str:
-    said = core.counts.accused
+    said = core.counters.accused
     what(*given)
-    for act in core.take_acts():
+    for act in core.take_actions():
         _act(spot, core, act)
     core.take_changes()
-    if core.counts.accused > said and core.now < core.quiet_until and not _refusals(core):
+    if core.counters.accused > said and core.now < core.quiet_until and not _refusals(core):
         return f"{core.name} accused another before it had caught up"
     return broken(spot)
 
@@ -145,22 +147,22 @@
     if isinstance(act, Send):
         if len(spot.flying) < MOST_FLYING:
             spot.flying.append(Flying(target, address(core.name), act.message))
-    elif isinstance(act, Check):
+    elif isinstance(act, ConnectionProbe):
         if other is None:
-            core.on_checked(spot.now, act.message.number, Verdict.REFUSED)
-            for more in core.take_acts():
+            core.on_connection_outcome(spot.now, act.message.number, ConnectionOutcome.REFUSED)
+            for more in core.take_actions():
                 if isinstance(more, Send):
                     _act(spot, core, more)
     elif isinstance(act, Sync) and other is not None and target != spot.stopped and other is not core:
-        view = core.view()
-        back = other.answer(view)
+        view = core.view_message()
+        back = other.reply_to(view)
         if len(spot.flying) < MOST_FLYING - 1:
             spot.flying.append(Flying(target, address(core.name), view))
             spot.flying.append(Flying(core.name, address(target), back))
 
 
 def broken(spot: Spot) -> str:
-    running = {name: core.me.process for name, core in spot.cores.items() if core is not None}
+    running = {name: core.own_item.process for name, core in spot.cores.items() if core is not None}
     for name, core in spot.cores.items():
         for of, peer in core.peers.items() if core is not None else ():
             item = peer.item
--- a/thornladder/membership/transport.py
+++ b/thornladder/membership/transport.py
@@ -11,7 +11,7 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from thornladder.membership.core import Act, Check, Core, Send, Sync, Verdict
+from thornladder.membership.core import Action, ConnectionOutcome, ConnectionProbe, Core, Send, Sync
 from thornladder.membership.wire import (
     MOST_DATAGRAM,
     MOST_VIEW,
@@ -57,14 +57,14 @@
                 group.start_soon(listener.serve, self._serve)
                 while True:
                     self._step(self.core.wake)
-                    await anyio.sleep(min(max(self.core.due - self.clock(), 0.001), STEP))
+                    await anyio.sleep(min(max(self.core.next_wake_at - self.clock(), 0.001), STEP))
         finally:
             self.udp = None
             udp.close()
 
     def say(self) -> None:
         """Sends what the core has to say; calls for connections are dropped where none can be made."""
-        for act in self.core.take_acts():
+        for act in self.core.take_actions():
             if isinstance(act, Send):
                 self._send(act)
             elif self.calls < MOST_CALLS:
@@ -115,7 +115,7 @@
                     if message is None:
                         self.garbage += 1
                         return
-                    answer = self.core.answer(message)
+                    answer = self.core.reply_to(message)
                     self._step(self.core.on_message, message.address, message, True)
                     await _give(stream, answer)
             except (OSError, anyio.BrokenResourceError, anyio.EndOfStream):
@@ -123,22 +123,22 @@
             finally:
                 self.calls -= 1
 
-    async def _call(self, act: Act) -> None:
+    async def _call(self, act: Action) -> None:
         try:
-            if isinstance(act, Check):
+            if isinstance(act, ConnectionProbe):
                 verdict = await self._ask(act.address, act.message, CHECK)
                 if verdict is not None:
-                    self._step(self.core.on_checked, act.message.number, verdict)
+                    self._step(self.core.on_connection_outcome, act.message.number, verdict)
             elif isinstance(act, Sync):
-                await self._ask(act.address, self.core.view(), VIEW)
+                await self._ask(act.address, self.core.view_message(), VIEW)
         finally:
             self.calls -= 1
 
-    async def _ask(self, address: str, message: Message, patience: float) -> Verdict | None:
+    async def _ask(self, address: str, message: Message, patience: float) -> ConnectionOutcome | None:
         """What else than an answer came; an answer goes to the core."""
         where = split_address(address)
         if where is None:
-            return Verdict.NOTHING
+            return ConnectionOutcome.NO_ANSWER
         try:
             with anyio.move_on_after(patience):
                 # From its own address: others tell members apart by it.
@@ -150,10 +150,10 @@
                         return None
         except OSError as error:
             if isinstance(error.__cause__ or error, ConnectionRefusedError):
-                return Verdict.REFUSED
+                return ConnectionOutcome.REFUSED
         except (anyio.BrokenResourceError, anyio.EndOfStream, anyio.IncompleteRead):
             pass
-        return Verdict.NOTHING
+        return ConnectionOutcome.NO_ANSWER
 
 
 async def _give(stream: SocketStream, message: Message) -> None:
--- a/thornladder/rig/virtual.py
+++ b/thornladder/rig/virtual.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any, NamedTuple, Protocol
 
-from thornladder.membership.core import Act, Check, Core, Send, Sync, Verdict
+from thornladder.membership.core import Action, ConnectionOutcome, ConnectionProbe, Core, Send, Sync
 from thornladder.membership.wire import Message, decode, encode
 from thornladder.rig.faults import Fault, Move, Process, Weather, moves
 
@@ -26,15 +26,15 @@
 class Member(Protocol):
     """What the harness needs of a core, ours or a baseline."""
 
-    acts: list[Act]
+    actions: list[Action]
 
     @property
-    def due(self) -> float: ...
+    def next_wake_at(self) -> float: ...
     @property
     def members(self) -> list[str]: ...
     def wake(self, now: float) -> None: ...
     def on_message(self, now: float, source: str, message: Message, by_connection: bool = False) -> None: ...
-    def take_acts(self) -> list[Act]: ...
+    def take_actions(self) -> list[Action]: ...
     def take_changes(self) -> list[Any]: ...
 
 
@@ -95,9 +95,9 @@
 
     def introduce(self) -> None:
         """Every member holds the whole view, as after a long quiet time."""
-        items = [place.core.me for place in self.places.values()]
+        items = [place.core.own_item for place in self.places.values()]
         for place in self.places.values():
-            place.core.adopt(items)
+            place.core.bootstrap(items)
             place.core.take_changes()
 
     # Events.
@@ -125,7 +125,7 @@
         self._wake_later(place)
 
     def _wake_later(self, place: Place) -> None:
-        due = place.core.due - self.skew.get(place.name, 0.0)
+        due = place.core.next_wake_at - self.skew.get(place.name, 0.0)
         place.wakes += 1
         self.at(max(due, self.now), self._wake, place, place.core, place.wakes)
 
@@ -136,7 +136,7 @@
         if place.stopped:
             place.waiting.append((self._wake, (place, core, number)))
             return
-        if core.due - self.skew.get(place.name, 0.0) <= self.now + 1e-9:
+        if core.next_wake_at - self.skew.get(place.name, 0.0) <= self.now + 1e-9:
             self._step(place, core.wake, self._clock(place))
         self._wake_later(place)
 
@@ -145,10 +145,10 @@
         what(*given)
         place.cpu += time.perf_counter() - began
         core = place.core
-        for act in core.take_acts():
+        for act in core.take_actions():
             self._act(place, act)
         for change in core.take_changes():
-            self.told.append(Told(self.now, place.name, change.name, change.what, change.view))
+            self.told.append(Told(self.now, place.name, change.name, change.state, change.view_changed))
         for check in self.checks:
             check(self, place)
 
@@ -161,14 +161,14 @@
             return
         message = decode(data)
         if message is not None:
-            due = place.core.due
+            due = place.core.next_wake_at
             self._step(place, place.core.on_message, self._clock(place), source, message, by_connection)
-            if place.core.due < due - 1e-9:
+            if place.core.next_wake_at < due - 1e-9:
                 self._wake_later(place)
 
     # What members do.
 
-    def _act(self, place: Place, act: Act) -> None:
+    def _act(self, place: Place, act: Action) -> None:
         target = self.by_address.get(act.address)
         if isinstance(act, Send):
             data = encode(act.message)
@@ -176,7 +176,7 @@
             place.messages += 1
             if target is not None:
                 self._send(place, target, data)
-        elif isinstance(act, Check):
+        elif isinstance(act, ConnectionProbe):
             self._check(place, target, act)
         elif isinstance(act, Sync) and target is not None:
             self._sync(place, target)
@@ -190,7 +190,7 @@
         back = self.weather.carries(self.now, b.name, a.name, size, self.chance)
         return None if there is None or back is None else there + back
 
-    def _check(self, place: Place, target: Place | None, act: Check) -> None:
+    def _check(self, place: Place, target: Place | None, act: ConnectionProbe) -> None:
         place.bytes += CONNECTION
         number = act.message.number
         round_trip = self._there_and_back(place, target, 100) if target else None
@@ -199,20 +199,22 @@
         if target.core is None:
             self.at(self.now + round_trip, self._checked, place, place.core, number)
         elif not target.stopped:
-            answer = encode(target.core.answer(act.message))
+            answer = encode(target.core.reply_to(act.message))
             self.at(self.now + round_trip, self._arrive, place, target.address, answer, True)
 
     def _checked(self, place: Place, core: Any, number: int) -> None:
         if place.core is core and not place.stopped:
-            self._step(place, core.on_checked, self._clock(place), number, Verdict.REFUSED)
+            self._step(
+                place, core.on_connection_outcome, self._clock(place), number, ConnectionOutcome.REFUSED
+            )
 
     def _sync(self, place: Place, target: Place) -> None:
-        view = place.core.view()
+        view = place.core.view_message()
         data = encode(view)
         round_trip = self._there_and_back(place, target, min(len(data), 1400))
         if round_trip is None or round_trip > LONGEST or target.core is None or target.stopped:
             return
-        back = encode(target.core.answer(view))
+        back = encode(target.core.reply_to(view))
         place.bytes += len(data) + CONNECTION
         target.bytes += len(back) + CONNECTION
         self.at(self.now + round_trip / 2.0, self._arrive, target, place.address, data, True)
@@ -233,7 +235,7 @@
         elif move.what in ("kill", "end"):
             if move.what == "end" and not place.stopped:
                 place.core.leave(self._clock(place))
-                for act in place.core.take_acts():
+                for act in place.core.take_actions():
                     self._act(place, act)
             place.end()
 
