--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -106,7 +106,7 @@
                 discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
                 listener.listen(16)
                 tasks.start_soon(_serve_at, listener, discovery, tasks)
-                await wait_until(lambda: discovery.got, 10.0)
+                await wait_until(lambda: discovery.received, 10.0)
                 await wait_until_served(node_port, "b")
                 text = bytes(log)
                 assert b"Traceback" not in text and b"could not be accepted" not in text
@@ -128,4 +128,4 @@
         await anyio.wait_readable(listener)
         raw, _ = listener.accept()
         stream = await anyio.abc.SocketStream.from_socket(raw)
-        tasks.start_soon(server._talk, stream)
+        tasks.start_soon(server._serve_connection, stream)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -37,7 +37,7 @@
         )
         assert (answer.target, answer.body) == ("200", b"aa done")
         assert answer.headers["content-type"] == "text/odd"
-        [got] = cluster.backends[0].got
+        [got] = cluster.backends[0].received
         assert (got.method, got.target, got.body) == (
             "POST",
             "/pay/now?key=0f&x=%20",
@@ -72,7 +72,7 @@
     async with LoopbackCluster(answer, answer) as cluster:
         got = await cluster.ask("aa", "pay", body=b"x")
         assert got.target == "502"
-        assert sum(len(backend.got) for backend in cluster.backends) == 1
+        assert sum(len(backend.received) for backend in cluster.backends) == 1
 
 
 MALFORMED_RESPONSES = {
@@ -96,7 +96,7 @@
         began = anyio.current_time()
         assert (await cluster.ask("aa", "pay", body=b"x")).target == "502"
         assert anyio.current_time() - began < 0.5
-        await wait_until(lambda: cluster.backends[0].closed == len(cluster.backends[0].got) == 1)
+        await wait_until(lambda: cluster.backends[0].closed == len(cluster.backends[0].received) == 1)
         assert not any("dead" in line for line, _ in cluster.log.lines)
 
 
@@ -131,10 +131,10 @@
         )
         for stream in list(cluster.discovery.streams):
             await stream.aclose()
-        await wait_until(lambda: any("from=2" in got.target for got in cluster.discovery.got))
+        await wait_until(lambda: any("from=2" in got.target for got in cluster.discovery.received))
         for number in range(6):
             assert (await cluster.ask(f"a{number}", "pay", body=b"x")).target == "200"
-        assert len(cluster.backends[1].got) == 6
+        assert len(cluster.backends[1].received) == 6
 
 
 async def test_unanswered_push_ends_before_the_cut_off_and_its_connection_is_closed() -> None:
@@ -149,7 +149,7 @@
     async with LoopbackCluster(lambda _: None) as cluster:
         client = await cluster.client()
         await client.send("aa", "pay", body=b"x")
-        await wait_until(lambda: cluster.backends[0].got)
+        await wait_until(lambda: cluster.backends[0].received)
         await client.stream.aclose()
         await wait_until(lambda: cluster.backends[0].closed == 1, 0.5)
 
@@ -192,14 +192,14 @@
         other, bad = await cluster.client(), await cluster.client()
         assert (await bad.raw(raw)).target == status
         assert (await other.ask("aa", "look")).target == "200"
-        assert [got.target for got in cluster.backends[0].got] == ["/look"]
+        assert [got.target for got in cluster.backends[0].received] == ["/look"]
 
 
 async def test_surplus_bytes_during_an_invocation_end_it() -> None:
     async with LoopbackCluster(lambda _: None) as cluster:
         client = await cluster.client()
         await client.send("aa", "look")
-        await wait_until(lambda: cluster.backends[0].got)
+        await wait_until(lambda: cluster.backends[0].received)
         await client.stream.send(b"more")
         assert (await client.answer()).target == "400"
         await wait_until(lambda: cluster.backends[0].closed == 1, 0.5)
@@ -231,8 +231,8 @@
 async def test_watch_survives_polls_longer_than_the_poll_interval(monkeypatch: pytest.MonkeyPatch) -> None:
     # Regression: after a poll that was held open the rest of the interval was negative and ended the node.
     monkeypatch.setattr(Watch, "MIN_POLL_INTERVAL_SECONDS", 0.0)
-    async with LoopbackCluster(respond_done, tells=lambda _: list_reply(1)) as cluster:
-        await wait_until(lambda: len(cluster.discovery.got) >= 10)
+    async with LoopbackCluster(respond_done, list_answer=lambda _: list_reply(1)) as cluster:
+        await wait_until(lambda: len(cluster.discovery.received) >= 10)
         assert (await cluster.ask("aa", "look")).target == "200"
         assert cluster.log.find("a call for the list failed") is None
 
@@ -243,20 +243,20 @@
             return list_reply(2, {**list_line(0, 1), "lifecycle": "terminating"})
         return list_reply(1) if got.target.endswith("=0") else None
 
-    async with LoopbackCluster(respond_done, respond_done, tells=answer_poll) as cluster:
-        await wait_until(lambda: any("from=2&" in got.target for got in cluster.discovery.got), 8.0)
+    async with LoopbackCluster(respond_done, respond_done, list_answer=answer_poll) as cluster:
+        await wait_until(lambda: any("from=2&" in got.target for got in cluster.discovery.received), 8.0)
         for number in range(6):
             assert (await cluster.ask(f"a{number}", "look")).target == "200"
-        assert not cluster.backends[0].got and len(cluster.backends[1].got) == 6
+        assert not cluster.backends[0].received and len(cluster.backends[1].received) == 6
 
 
 async def test_failed_poll_is_retried() -> None:
     async with LoopbackCluster(respond_done) as cluster:
-        await wait_until(lambda: len(cluster.discovery.got) >= 2)
+        await wait_until(lambda: len(cluster.discovery.received) >= 2)
         cluster.discovery.answer = lambda _: reply(503)
         await cluster.discovery.streams[-1].aclose()
-        count = len(cluster.discovery.got)
-        await wait_until(lambda: len(cluster.discovery.got) >= count + 3)
+        count = len(cluster.discovery.received)
+        await wait_until(lambda: len(cluster.discovery.received) >= count + 3)
         assert (await cluster.ask("aa", "look")).target == "200"
 
 
@@ -270,11 +270,11 @@
         cluster.discovery.answer = lambda _: None
         await wait_until(lambda: cluster.discovery.closed >= 3)
         assert cluster.log.find("a call for the list failed") is not None
-        cluster.discovery.answer = lambda got: list_reply(7, list_line(0, 1, "terminating"), whole=True)
-        await wait_until(lambda: any("from=7" in got.target for got in cluster.discovery.got))
+        cluster.discovery.answer = lambda got: list_reply(7, list_line(0, 1, "terminating"), snapshot=True)
+        await wait_until(lambda: any("from=7" in got.target for got in cluster.discovery.received))
         assert (await cluster.ask("aa", "look")).target == "503"
-        began, count = anyio.current_time(), len(cluster.discovery.got)
-        await wait_until(lambda: len(cluster.discovery.got) >= count + 4)
+        began, count = anyio.current_time(), len(cluster.discovery.received)
+        await wait_until(lambda: len(cluster.discovery.received) >= count + 4)
         # Polls are rate-limited though the service answers at once.
         assert anyio.current_time() - began > 2 * Watch.MIN_POLL_INTERVAL_SECONDS
 
@@ -350,7 +350,7 @@
         client = await cluster.client()
         assert (await client.raw(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")).target == "200"
         await client.send("aa", "look", 400)
-        await wait_until(lambda: cluster.backends[0].got)
+        await wait_until(lambda: cluster.backends[0].received)
         assert (await cluster.ask("aa", "look")).target == "400"
 
 
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -190,9 +190,9 @@
     # Regression: an exception in the accepting task, which nothing caught, ended the node.
     version = itertools.count(2)
 
-    def tells(_: ReceivedMessage) -> bytes | None:
+    def answer_poll(_: ReceivedMessage) -> bytes | None:
         lines = [list_line(number, peer.port) for number, peer in enumerate(cluster.backends)]
-        return list_reply(next(version), *lines, whole=True)
+        return list_reply(next(version), *lines, snapshot=True)
 
     injector = FaultInjector(
         every, called_by_node if owner in (h11.Connection, SocketStream) else lambda: True
@@ -200,7 +200,7 @@
     monkeypatch.setattr(owner, name, injector.wrap(getattr(owner, name)))
     if name == "seconds_since_last_data":
         monkeypatch.setattr(EventLoopLag, "is_late", True)  # it is called only then
-    cluster = LenientCluster(respond, respond, respond, sockets=60, tells=tells)
+    cluster = LenientCluster(respond, respond, respond, sockets=60, list_answer=answer_poll)
     async with cluster:
         await run_clients(cluster)
         if not injector.raised:  # called only with many idle connections, or after some time
