--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -77,10 +77,10 @@
         return reply(503, X_Rejected="1") if seen.count("a") == 1 and seen[-1] == "a" else reply(200)
 
     class Held(FakeServer):
-        async def _talk(self, stream: anyio.abc.SocketStream) -> None:
+        async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
             tried.set()
             await gate.wait()
-            await super()._talk(stream)
+            await super()._serve_connection(stream)
 
     backends = [Held(answer), Held(answer)]
     async with running_node(tmp_path, *backends) as (process, port):
--- a/tests/test_end_crossings.py
+++ b/tests/test_end_crossings.py
@@ -25,10 +25,10 @@
         super().__init__(answers)
         self.gate, self.asked = anyio.Event(), 0
 
-    async def _talk(self, stream: anyio.abc.SocketStream) -> None:
+    async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         self.asked += 1
         await self.gate.wait()
-        await super()._talk(stream)
+        await super()._serve_connection(stream)
 
 
 async def leaving(process: Any, port: int) -> None:
