--- a/thornladder/membership/baselines.py
+++ b/thornladder/membership/baselines.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from thornladder.membership.core import Change, Core, Counters, Outbox, Peer, Probe, Send, Times
+from thornladder.membership.core import Change, Core, Counters, Outbox, Peer, Probe, Send, Timing
 from thornladder.membership.wire import VERSION, Item, Kind, Message, State
 
 
@@ -92,4 +92,4 @@
 
 
 def swim(name: str, address: str, seeds: Sequence[str], chance: Random, now: float) -> Swim:
-    return Swim(name, address, "fleet", seeds, chance, now, times=Times())
+    return Swim(name, address, "fleet", seeds, chance, now, timing=Timing())
--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -28,20 +28,24 @@
 OUT = frozenset({State.LOST, State.ENDED, State.LEFT})
 
 
-class Times(NamedTuple):
+class Timing(NamedTuple):
     """Seconds. The limits they serve: a killed member known in 2, a silent one in 10, a pause of 5 borne."""
 
-    period: float = 0.25  # between pings; every member is pinged by its predecessor each second one
-    reply_to: float = 0.2  # for a ping, before other ways are tried: some hundred round trips of one building
-    whole: float = 1.0  # for all ways together, before a word is said
-    suspicion: float = 6.0  # silence after the first word before LOST, with three witnesses
-    slow: float = 1.0  # more with only two
-    late: float = 0.15  # of a timer: from there on the process itself was paused or short of its core
-    catch_up: float = 1.0  # at most, after that: no word about others
-    isolated: float = 2.0  # nobody heard for that long: this member is the one that is cut off
-    seek: float = 1.0  # between tries to reach who is lost, or a seed that is no member
-    sync: float = 1.0  # between whole views
-    remember: float = 600.0  # an ENDED or LEFT process, so that late words of it raise nobody
+    probe_interval: float = 0.25  # between pings; every member is pinged by its predecessor each second one
+    ack_timeout: float = (
+        0.2  # for a ping, before other ways are tried: some hundred round trips of one building
+    )
+    probe_timeout: float = 1.0  # for all ways together, before a word is said
+    suspicion_timeout: float = 6.0  # silence after the first word before LOST, with three witnesses
+    two_witness_delay: float = 1.0  # more with only two
+    pause_threshold: float = (
+        0.15  # of a timer: from there on the process itself was paused or short of its core
+    )
+    max_catch_up: float = 1.0  # at most, after that: no word about others
+    isolation_timeout: float = 2.0  # nobody heard for that long: this member is the one that is cut off
+    rejoin_interval: float = 1.0  # between tries to reach who is lost, or a seed that is no member
+    sync_interval: float = 1.0  # between whole views
+    retention: float = 600.0  # an ENDED or LEFT process, so that late words of it raise nobody
 
 
 FANOUT = 3  # members told at once of what is new; in a large fleet two, the rest rides on pings
@@ -176,12 +180,12 @@
 class Core(Outbox):
     def __init__(
         self, name: str, address: str, fleet: str, seeds: Sequence[str], chance: Random, now: float,
-        zone: str = "", times: Times | None = None, facts: dict[str, str] | None = None,
+        zone: str = "", timing: Timing | None = None, facts: dict[str, str] | None = None,
     ) -> None:  # fmt: skip
         """`now`: seconds of any steady clock. `address`: where others reach this member."""
         self.name, self.address, self.fleet, self.zone = name, address, fleet, zone
         self.seeds = [seed for seed in seeds if seed != address]
-        self.chance, self.times = chance, times or Times()
+        self.chance, self.timing = chance, timing or Timing()
         self.facts = dict(facts or {})
         self.start, self.birth, self.round = 1, chance.getrandbits(32), 0
         self.offset = 0.0  # by which lived time is behind the clock
@@ -194,7 +198,7 @@
         super().__init__()
         self.counters = Counters()
         self.number = self.stamp = self.score = 0
-        self.next_tick = now + self.times.period * chance.random()
+        self.next_tick = now + self.timing.probe_interval * chance.random()
         self.next_seek = now
         self.quiet_until = now  # no words of this member before
         self.heard_any = self.last_reply_at = now
@@ -230,7 +234,7 @@
                 probe.tries = math.inf
                 self._other_ways(number, probe)
         if self.now >= self.next_tick:
-            self.next_tick = self.now + self.times.period * (0.9 + 0.2 * self.chance.random())
+            self.next_tick = self.now + self.timing.probe_interval * (0.9 + 0.2 * self.chance.random())
             self._tick()
         self._flush()
 
@@ -308,12 +312,12 @@
     @property
     def isolated(self) -> bool:
         """Nobody answers: it may well be this member that is cut off, so it has no word on others."""
-        return len(self.ring) > 1 and self.now - self.last_reply_at > self.times.isolated
+        return len(self.ring) > 1 and self.now - self.last_reply_at > self.timing.isolation_timeout
 
     @property
     def hears_nobody(self) -> bool:
         """Nor is anybody heard."""
-        return self.isolated and self.now - self.heard_any > self.times.isolated
+        return self.isolated and self.now - self.heard_any > self.timing.isolation_timeout
 
     def set_facts(self, facts: dict[str, str]) -> None:
         """New facts of this member are told like a refutation: by a higher round."""
@@ -328,13 +332,13 @@
 
     def _clock(self, now: float) -> None:
         late = now - self.next_wake_at
-        if late > self.times.late:
+        if late > self.timing.pause_threshold:
             # Guards against accusing all others after a pause, and against waits that ran out in it.
             self.offset += late
             self.counters.late += 1
             # For as long again: what came meanwhile is read at once. Guards against a fleet on a slow disk,
             # all of it late for a moment each second, that never misses anybody.
-            self.quiet_until = now - self.offset + min(2.0 * late, self.times.catch_up)
+            self.quiet_until = now - self.offset + min(2.0 * late, self.timing.max_catch_up)
             self.score = min(self.score + 1, MOST_SCORE)
         self.now = max(self.now, now - self.offset)
 
@@ -343,12 +347,12 @@
         if target is not None:
             self._probe(target)
         if self.now >= self.next_seek:
-            self.next_seek = self.now + self.times.seek
+            self.next_seek = self.now + self.timing.rejoin_interval
             self._seek()
         self._judge()
         for number in [number for number, errand in self.errands.items() if self.now > errand.until]:
             del self.errands[number]
-        old = self.now - self.times.remember
+        old = self.now - self.timing.retention
         for name in [name for name, peer in self.peers.items() if peer.since < old and not peer.alive]:
             if self.peers[name].item.state != State.LOST:
                 del self.peers[name]
@@ -379,8 +383,8 @@
         self.number += 1
         patience = self._patience()
         self.probes[self.number] = Probe(
-            name, peer.item.address, peer.item.process, self.now, self.now + self.times.whole * patience,
-            self.now + self.times.reply_to * patience,
+            name, peer.item.address, peer.item.process, self.now,
+            self.now + self.timing.probe_timeout * patience, self.now + self.timing.ack_timeout * patience,
         )  # fmt: skip
         self._send(peer.item.address, Kind.PING, number=self.number, target=name, items=self._riders())
 
@@ -453,14 +457,16 @@
                 continue
             if len(peer.words) < WITNESSES:
                 continue
-            wait = self.times.suspicion + (self.times.slow if len(peer.words) == WITNESSES else 0.0)
+            wait = self.timing.suspicion_timeout + (
+                self.timing.two_witness_delay if len(peer.words) == WITNESSES else 0.0
+            )
             if self.name not in peer.words:
-                wait += 2.0 * self.times.whole  # the witnesses themselves may be gone
+                wait += 2.0 * self.timing.probe_timeout  # the witnesses themselves may be gone
             over = max(peer.first, peer.evidence) + wait
-            looked = peer.vain >= max(over, self.now - self.times.whole) - self.times.whole
+            looked = peer.vain >= max(over, self.now - self.timing.probe_timeout) - self.timing.probe_timeout
             if looked and self.now >= over:
                 self._replace(peer, State.LOST)
-            near = peer.lost_by or self.now >= over - self.times.whole
+            near = peer.lost_by or self.now >= over - self.timing.probe_timeout
             if near and not looked and len(self.probes) < MOST_LOOKS:
                 self._look(name)
 
@@ -508,7 +514,7 @@
         if message.round > peer.item.round:
             peer.words = {}  # it has refuted them
         if message.digest != self.digest and message.kind != Kind.VIEW:
-            settled = self.now - self.changed > self.times.sync
+            settled = self.now - self.changed > self.timing.sync_interval
             due = self.now - self.synced > 10.0 * max(1.0, len(self.peers) / 100.0)
             if settled or due:
                 # One that has just come knows a few: it asks one of them, not the seed that answered first.
@@ -524,7 +530,7 @@
             peer.words.pop(self.name, None)
 
     def _sync_soon(self, address: str) -> None:
-        if self.now - self.synced > self.times.sync and address:
+        if self.now - self.synced > self.timing.sync_interval and address:
             self.synced = self.now
             self.actions.append(Sync(address))
 
@@ -656,7 +662,7 @@
         if item.state == State.LOST and peer.alive and item.process == peer.item.process:
             # Guards against a view that flaps when a cut heals: what the other side held is a word here,
             # until it has lasted or this member has looked in vain.
-            lasted = self.now - peer.first >= 0.5 * self.times.suspicion
+            lasted = self.now - peer.first >= 0.5 * self.timing.suspicion_timeout
             if not (len(peer.words) >= WITNESSES and lasted):
                 for by in item.by.split(","):
                     self._accused(peer, by, State.SILENT)
--- a/thornladder/membership/explore.py
+++ b/thornladder/membership/explore.py
@@ -11,11 +11,14 @@
 from typing import Any, NamedTuple
 
 from thornladder.exploration import Result, breadth_first, disturb
-from thornladder.membership.core import ConnectionOutcome, ConnectionProbe, Core, Send, Sync, Times
+from thornladder.membership.core import ConnectionOutcome, ConnectionProbe, Core, Send, Sync, Timing
 from thornladder.membership.wire import Message, State
 
 # Short waits, so that a verdict lies within the depth that can be gone through.
-SHORT = Times(period=0.25, reply_to=0.1, whole=0.2, suspicion=0.4, slow=0.1, alone=0.3, seek=0.5, sync=0.3)
+SHORT_TIMING = Timing(
+    probe_interval=0.25, ack_timeout=0.1, probe_timeout=0.2, suspicion_timeout=0.4, two_witness_delay=0.1,
+    isolation_timeout=0.3, rejoin_interval=0.5, sync_interval=0.3,
+)  # fmt: skip
 NAMES = ("a", "b", "c")
 CHOICE = 2  # messages in flight that may come next: the order of more is reached step by step
 MOST_FLYING = 6  # more are dropped, as a full queue would
@@ -69,7 +72,9 @@
 def begin(make: type[Core] = Core) -> Spot:
     spot = Spot()
     for name in NAMES:
-        spot.cores[name] = make(name, address(name), "f", [address("a")], Random(name), 0.0, times=SHORT)
+        spot.cores[name] = make(
+            name, address(name), "f", [address("a")], Random(name), 0.0, timing=SHORT_TIMING
+        )
     items = [core.own_item for core in spot.cores.values()]
     for core in spot.cores.values():
         core.bootstrap(items)
@@ -121,7 +126,7 @@
         spot.starts += 1
         chance = Random(f"{which} again {spot.starts}")
         spot.cores[which] = make(which, address(which), "f", [address(n) for n in NAMES], chance, spot.now,
-                                 times=SHORT)  # fmt: skip
+                                 timing=SHORT_TIMING)  # fmt: skip
     return ""
 
 
