--- a/tests/harness.py
+++ b/tests/harness.py
@@ -44,6 +44,7 @@
 def entry(
     number: int, state: State = State.RUNNING, started: float | None = None, weight: float = 1.0
 ) -> Entry:
+    """A list entry; backends alternate between two zones, and three make a cell."""
     return Entry(f"b{number:02}", state, "xy"[number % 2], number // 3, weight, started, "plain")
 
 
@@ -142,6 +143,7 @@
 
     @staticmethod
     def may_have_run(record: InvocationRecord) -> list[tuple[str, float]]:
+        """The pushes, in order, by which the invocation may have run."""
         return [push for number, push in enumerate(record.pushes)
                 if number not in record.outcomes or not record.outcomes[number].never_ran]  # fmt: skip
 
@@ -250,6 +252,7 @@
 
 
 async def wait_until(condition: Callable[[], object], seconds: float = 5.0) -> None:
+    """Wait for a condition; raises TimeoutError after `seconds`."""
     with anyio.fail_after(seconds):
         while not condition():
             await anyio.sleep(0.002)
@@ -337,6 +340,7 @@
 
 
 def reply(status: int, body: bytes = b"done", **headers: str) -> bytes:
+    """An HTTP response; an underscore in a keyword is a hyphen of the header's name."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} X\r\n{lines}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -358,6 +362,7 @@
 
 
 def list_line(number: int, port: int, state: str = "in_service") -> dict:
+    """A backend in discovery's format."""
     return {"instanceId": f"s{number}", "hostPort": f"127.0.0.1:{port}", "zone": "xy"[number % 2],
             "cell": number, "lifecycle": state, "weight": 1.0, "startedAtMs": 0,
             "machineType": "plain"}  # fmt: skip
@@ -366,12 +371,14 @@
 def config(
     backends: list[dict], discovery: int, sockets: int = 1024, memory: int = 192, info: dict | None = None
 ) -> dict:
+    """A node's configuration file; `info` replaces SETTINGS, `discovery` is a port, `memory` in MB."""
     return {"name": "n", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery}", "seed": "0c1f",
             "limits": {"cores": 1.0, "memory_mb": memory, "sockets": sockets}, "settings": info or SETTINGS,
             "known": {"generation": 1, "reset": True, "instances": backends}}  # fmt: skip
 
 
 def list_reply(version: int, *instances: dict, snapshot: bool = False) -> bytes:
+    """Discovery's answer to a call for the list: a snapshot or a delta."""
     return reply(200, json.dumps({"generation": version, "reset": snapshot, "instances": instances}).encode())
 
 
@@ -444,6 +451,7 @@
 
 
 async def read_reply(stream: anyio.abc.SocketStream) -> tuple[int, dict]:
+    """Read an answer until the connection is closed; return its status and its JSON body."""
     text = b""
     with suppress(anyio.EndOfStream):
         while True:
--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -2,8 +2,8 @@
 
 The host creates one `Node` for each balancer node and passes itself in as a `Host` (see interface.py). It
 reports events through the `on_...` methods, with the time in seconds, and the node acts by calling the host
-at once. The same events with the same seed lead to the same calls. Every push passes `may_push`, every nack
-`may_nack`.
+at once. The same events with the same seed lead to the same calls. `Node.may_push` and `Node.may_nack` are
+the only gates that the node's pushes and nacks pass.
 """
 
 from __future__ import annotations
@@ -32,6 +32,7 @@
         return self.value
 
     def add(self, amount: float, now: float) -> None:
+        """Add `amount` with full weight at `now`."""
         self.value = self.read(now) + amount
 
 
@@ -42,9 +43,11 @@
         self.total, self.count = DecayingSum(time_constant), DecayingSum(time_constant)
 
     def read(self, now: float) -> float:
+        """The mean at `now`."""
         return self.total.read(now) / self.count.value if self.count.read(now) > 0.01 else 0.0
 
     def add(self, value: float, now: float) -> None:
+        """Add a sample with full weight at `now`."""
         self.total.add(value, now)
         self.count.add(1.0, now)
 
@@ -71,6 +74,7 @@
 
 
 BackendPredicate = Callable[[Backend], bool]
+# Whether a backend in slow start takes a push, given the share of all traffic that would reach it.
 ColdGate = Callable[[Backend, float], bool]
 
 
@@ -238,7 +242,7 @@
         """Pick the next allowed backend in turn, or a later one with a clearly shorter expected wait.
 
         A backend in slow start is picked in its turn or when there is no other, and only if `admits_cold`
-        agrees; that is given the share of all traffic that would reach it.
+        agrees.
         """
         self.virtual_time += 1.0 / self.total_weight
         choice, best, spares = None, 0.0, []
@@ -264,11 +268,13 @@
 
 
 class Push:
-    """One push of an invocation."""
+    """One push of an invocation; times and `cost`, the expected work, are in seconds."""
 
     outcome: Outcome | None = None
-    labels, dependency_delay = ("", ""), 0.0  # offering and tenant; seconds that these wait at every backend
-    counted, overtaken = True, 0  # counts as in flight, until its target time; later pushes that ended first
+    # Its offering and tenant; seconds that these wait for a dependency, at whichever backend.
+    labels, dependency_delay = ("", ""), 0.0
+    # Whether it counts against the concurrency limit, until its target time; later pushes that ended first.
+    counted, overtaken = True, 0
 
     def __init__(self, backend: Backend, sent_at: float, cost: float, queued_work: float, idle: bool) -> None:
         self.backend, self.sent_at, self.cost, self.queued_work, self.idle = (
@@ -291,6 +297,7 @@
         )
 
     def add(self, observed: float, expected: float, now: float) -> None:
+        """Add a response that took `observed` seconds where `expected` were expected."""
         self.observed.add(observed, now)
         self.expected.add(expected, now)
         self.updated_at = now
@@ -331,6 +338,7 @@
         self.reported_failure, self.probe_sent_at = "", None
 
     def add_push(self, active: ActiveInvocation, push: Push) -> None:
+        """Count a push as in flight."""
         self.in_flight[active.invocation.id, active.pushes.index(push)] = push
         self.outstanding_work += push.cost
 
@@ -341,7 +349,7 @@
 
 
 class HealthTracker:
-    """Outlier detection and load estimation, from responses, their absence and load reports.
+    """Outlier detection and load estimation, by responses, their absence and load reports.
 
     Backends are ejected as `dead` (connections break or are not made), `hung` (no response to pushes or a
     probe, or a report that shows none completed) or `erring` (responses are errors). Backends that are slow,
@@ -425,6 +433,7 @@
         )
 
     def stats_of(self, backend: Backend) -> BackendStats:
+        """What this node has observed of a backend; begins a record for a new one."""
         return self.stats[backend.id]
 
     def cost(self, offering: Offering, now: float) -> float:
@@ -1323,7 +1332,7 @@
             push.counted = False
 
     def _schedule_sweep(self) -> None:
-        """Sweep only while there is work: for hundreds of idle nodes it costs more than decisions."""
+        """Sweep only while there is work: sweeps of hundreds of idle nodes cost more than the decisions."""
         if self.active and not self.sweep_pending:
             self.sweep_pending = True
             self.host.set_timer(self.SWEEP_SECONDS, "sweep")
@@ -1406,8 +1415,8 @@
     def _on_readmitted(self, backend: Backend, cause: str, now: float) -> None:
         if cause:
             stats = self.health.stats_of(backend)
-            # Broken connections alone do not show a new process, and so no slow start: one that restarts
-            # refuses some connections first.
+            # Slow start only if a connection was refused, as a restarting process does: broken connections
+            # alone do not show a new process.
             self.registry.on_readmitted(
                 backend, stats.ejected_at, cause == "dead" and stats.connect_failed, now
             )
--- a/thornladder/interface.py
+++ b/thornladder/interface.py
@@ -74,6 +74,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant, as the settings describe it."""
+
     name: str
     share: float
     allowance: float  # invocations a second over all nodes
