--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -285,9 +285,9 @@
                 part = self.pending_parts.pop(0)
                 if self.upload is None:
                     continue
-                with anyio.move_on_after(self.UPLOAD_STALL_SECONDS) as waiting:
+                with anyio.move_on_after(self.UPLOAD_STALL_SECONDS) as stall_scope:
                     await self.upload.send(part)
-                if waiting.cancelled_caught and self.exchange is not None:
+                if stall_scope.cancelled_caught and self.exchange is not None:
                     # Without this a client would wait forever on a backend that reads nothing.
                     self.server_state.handler.body_stalled(self.exchange)
             if self.upload is not None and self.upload_received:
