--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -22,8 +22,8 @@
 POST = b"POST /pay HTTP/1.1\r\nHost: a\r\nX-Call-Id: a\r\n"
 
 
-def respond_done(got: ReceivedMessage) -> bytes:
-    return reply(200, f"{got.headers.get('x-call-id')} done".encode(), Content_Type="text/odd")
+def respond_done(message: ReceivedMessage) -> bytes:
+    return reply(200, f"{message.headers.get('x-call-id')} done".encode(), Content_Type="text/odd")
 
 
 def respond_rejected(_: ReceivedMessage) -> bytes:
@@ -37,14 +37,14 @@
         )
         assert (answer.target, answer.body) == ("200", b"aa done")
         assert answer.headers["content-type"] == "text/odd"
-        [got] = cluster.backends[0].received
-        assert (got.method, got.target, got.body) == (
+        [message] = cluster.backends[0].received
+        assert (message.method, message.target, message.body) == (
             "POST",
             "/pay/now?key=0f&x=%20",
             b"x" * MAX_BUFFERED_BYTES,
         )
-        assert got.headers["x-call-id"] == "aa" and got.headers["odd"] == "1"
-        assert 0 < int(got.headers["x-budget-ms"]) < 900
+        assert message.headers["x-call-id"] == "aa" and message.headers["odd"] == "1"
+        assert 0 < int(message.headers["x-budget-ms"]) < 900
 
 
 async def test_backend_connections_are_reused() -> None:
@@ -70,8 +70,8 @@
 )  # fmt: skip
 async def test_once_only_invocation_that_may_have_run_is_terminated_and_not_nacked(answer) -> None:
     async with LoopbackCluster(answer, answer) as cluster:
-        got = await cluster.ask("aa", "pay", body=b"x")
-        assert got.target == "502"
+        response = await cluster.ask("aa", "pay", body=b"x")
+        assert response.target == "502"
         assert sum(len(backend.received) for backend in cluster.backends) == 1
 
 
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("name", MALFORMED_RESPONSES)
 async def test_malformed_response_ends_its_push_at_once_and_does_not_eject_the_backend(name: str) -> None:
-    # Regression: one malformed response each got backends ejected as dead, until none was left.
+    # Regression: backends were ejected as dead after a single malformed response each, until none was left.
     async with LoopbackCluster(lambda _: MALFORMED_RESPONSES[name]) as cluster:
         began = anyio.current_time()
         assert (await cluster.ask("aa", "pay", body=b"x")).target == "502"
@@ -101,9 +101,11 @@
 
 
 async def test_early_hints_and_surplus_responses_do_not_affect_the_response() -> None:
-    def respond_with_surplus(got: ReceivedMessage) -> bytes:
+    def respond_with_surplus(message: ReceivedMessage) -> bytes:
         early_hints = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-        return early_hints + reply(200, got.headers["x-call-id"].encode(), X_Load_Report='{"busy": nan') * 2
+        return (
+            early_hints + reply(200, message.headers["x-call-id"].encode(), X_Load_Report='{"busy": nan') * 2
+        )
 
     async with LoopbackCluster(respond_with_surplus) as cluster:
         for number in range(3):
@@ -126,12 +128,12 @@
         # Nothing listens on this port, as after a crash that the list does not show yet.
         async with await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0) as listener:
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        cluster.discovery.answer = lambda got: (
-            list_reply(2, list_line(0, port)) if "from=1" in got.target else None
+        cluster.discovery.answer = lambda message: (
+            list_reply(2, list_line(0, port)) if "from=1" in message.target else None
         )
         for stream in list(cluster.discovery.streams):
             await stream.aclose()
-        await wait_until(lambda: any("from=2" in got.target for got in cluster.discovery.received))
+        await wait_until(lambda: any("from=2" in message.target for message in cluster.discovery.received))
         for number in range(6):
             assert (await cluster.ask(f"a{number}", "pay", body=b"x")).target == "200"
         assert len(cluster.backends[1].received) == 6
@@ -192,7 +194,7 @@
         other, bad = await cluster.client(), await cluster.client()
         assert (await bad.raw(raw)).target == status
         assert (await other.ask("aa", "look")).target == "200"
-        assert [got.target for got in cluster.backends[0].received] == ["/look"]
+        assert [message.target for message in cluster.backends[0].received] == ["/look"]
 
 
 async def test_surplus_bytes_during_an_invocation_end_it() -> None:
@@ -238,13 +240,15 @@
 
 
 async def test_drain_seen_by_the_watch_is_respected() -> None:
-    def answer_poll(got: ReceivedMessage) -> bytes | None:
-        if "from=1&" in got.target and not got.target.endswith("=0"):
+    def answer_poll(message: ReceivedMessage) -> bytes | None:
+        if "from=1&" in message.target and not message.target.endswith("=0"):
             return list_reply(2, {**list_line(0, 1), "lifecycle": "terminating"})
-        return list_reply(1) if got.target.endswith("=0") else None
+        return list_reply(1) if message.target.endswith("=0") else None
 
     async with LoopbackCluster(respond_done, respond_done, list_answer=answer_poll) as cluster:
-        await wait_until(lambda: any("from=2&" in got.target for got in cluster.discovery.received), 8.0)
+        await wait_until(
+            lambda: any("from=2&" in message.target for message in cluster.discovery.received), 8.0
+        )
         for number in range(6):
             assert (await cluster.ask(f"a{number}", "look")).target == "200"
         assert not cluster.backends[0].received and len(cluster.backends[1].received) == 6
@@ -270,8 +274,10 @@
         cluster.discovery.answer = lambda _: None
         await wait_until(lambda: cluster.discovery.closed >= 3)
         assert cluster.log.find("a call for the list failed") is not None
-        cluster.discovery.answer = lambda got: list_reply(7, list_line(0, 1, "terminating"), snapshot=True)
-        await wait_until(lambda: any("from=7" in got.target for got in cluster.discovery.received))
+        cluster.discovery.answer = lambda message: list_reply(
+            7, list_line(0, 1, "terminating"), snapshot=True
+        )
+        await wait_until(lambda: any("from=7" in message.target for message in cluster.discovery.received))
         assert (await cluster.ask("aa", "look")).target == "503"
         began, count = anyio.current_time(), len(cluster.discovery.received)
         await wait_until(lambda: len(cluster.discovery.received) >= count + 4)
@@ -360,21 +366,21 @@
     zones: dict[str, set[int]] = {}
 
     def faulty_backend(number: int):
-        def answer(got: ReceivedMessage) -> bytes | None:
-            if got.target == "/health/live":
+        def answer(message: ReceivedMessage) -> bytes | None:
+            if message.target == "/health/live":
                 return reply(200)
             draw = rng.random()
             if draw < 0.15:
                 return reply(503, X_Rejected="1")
-            run_count[got.headers["x-call-id"]] += 1
-            zones.setdefault(got.headers["x-call-id"], set()).add(number % 2)
+            run_count[message.headers["x-call-id"]] += 1
+            zones.setdefault(message.headers["x-call-id"], set()).add(number % 2)
             if draw < 0.18:
                 return reply(500)
             if draw < 0.21:
                 return b""
             if draw < 0.23:
                 return None
-            return respond_done(got)
+            return respond_done(message)
 
         return answer
 
--- a/tests/test_unforeseen.py
+++ b/tests/test_unforeseen.py
@@ -128,11 +128,11 @@
                         id = f"{caller}-{number}-{request}"
                         try:
                             with anyio.fail_after(1.3):
-                                got = await client.ask(id, "pay" if caller % 2 else "look", 400, b"x")
+                                response = await client.ask(id, "pay" if caller % 2 else "look", 400, b"x")
                         except TimeoutError:
                             pytest.fail(f"{id} was neither answered nor ended")
-                        assert got.target in ("200", "400", "404", "502", "503")
-                        if got.headers.get("connection") == "close":
+                        assert response.target in ("200", "400", "404", "502", "503")
+                        if response.headers.get("connection") == "close":
                             break
                         if (number + request) % 7 == 6:
                             await client.send(f"{id}l", "look")
@@ -156,12 +156,12 @@
             await anyio.sleep(0.05)
 
 
-def respond(got: ReceivedMessage) -> bytes | None:
-    if got.target == "/health/live":
+def respond(message: ReceivedMessage) -> bytes | None:
+    if message.target == "/health/live":
         return reply(200)
-    if got.headers.get("x-call-id", "").endswith("l"):
+    if message.headers.get("x-call-id", "").endswith("l"):
         return None  # its client has left
-    remainder = sum(got.headers.get("x-call-id", "").encode()) % 16
+    remainder = sum(message.headers.get("x-call-id", "").encode()) % 16
     return reply(503, X_Rejected="1") if remainder == 0 else reply(500) if remainder == 1 else reply(200)
 
 
--- a/thornladder/node/backends/pool.py
+++ b/thornladder/node/backends/pool.py
@@ -15,7 +15,8 @@
 class Pool:
     """Idle connections by backend, reused most recently used first, and a count of all open ones."""
 
-    # How long before the backend closes an idle connection it is given up; longer than an answer's way back.
+    # An idle connection is given up this long before the backend would close it; more than a response needs
+    # to arrive.
     IDLE_CLOSE_MARGIN_SECONDS = 1.0
     # How long a connection rests between two requests: a surplus second answer from the backend may arrive
     # some milliseconds late, and once the next request is out it would be read as the answer to that one.
--- a/thornladder/node/http1.py
+++ b/thornladder/node/http1.py
@@ -19,7 +19,7 @@
 
 
 class Stage(Enum):
-    """How far a request has come."""
+    """How far a request has come; until `SENT` it cannot have run."""
 
     CONNECTING = "connecting"
     WRITING = "writing"
@@ -31,7 +31,7 @@
     """Why a request ended without a response."""
 
     NO_CONNECTION = "no connection"
-    BROKEN = "broken"
+    BROKEN = "broken"  # the connection was closed or reset during the request
     STALE = "stale"  # a reused connection that the other side had closed; the request was not written whole
     MALFORMED = "malformed"  # what arrived cannot be read as the response
     TIMEOUT = "timeout"
