--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -34,7 +34,7 @@
 
 
 def test_a_fleet_without_chance_and_margin_is_caught() -> None:
-    whole = mock.patch.object(Node, "_lets", lambda self, *given: True)
+    whole = mock.patch.object(Node, "_admits_cold", lambda self, *given: True)
     with whole:
         assert max(judge(seed, "30, half lost").most for seed in (0, 4, 12, 18)) > 1.0
 
