--- a/thornladder/node/clients/early.py
+++ b/thornladder/node/clients/early.py
@@ -1,4 +1,7 @@
-"""Early load shedding: an overloaded node nacks invocations after a minimal parse of their head."""
+"""Early load shedding: an overloaded node nacks invocations after a minimal parse of their head.
+
+The CPU time of a full parse would be wasted on requests that are refused anyway.
+"""
 
 from __future__ import annotations
 
