--- a/tests/test_another_deployment.py
+++ b/tests/test_another_deployment.py
@@ -86,10 +86,10 @@
         )
 
     class BlockedServer(FakeServer):
-        async def _talk(self, stream: anyio.abc.SocketStream) -> None:
+        async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
             attempted.set()
             await released.wait()
-            await super()._talk(stream)
+            await super()._serve_connection(stream)
 
     backends = [BlockedServer(answer), BlockedServer(answer)]
     async with running_node(tmp_path, *backends) as (process, port):
