--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -94,8 +94,8 @@
 
 
 def test_turns_alternate_between_zones_and_some_come_first() -> None:
-    plan = virtual.a_plan(6, zones={"n000": "a", "n001": "a", "n002": "a"}, first=("n005",))
-    assert plan.spread() == ["n005", "n003", "n000", "n004", "n001", "n002"]
+    plan = virtual.make_plan(6, zones={"n000": "a", "n001": "a", "n002": "a"}, first=("n005",))
+    assert plan.rollout_order() == ["n005", "n003", "n000", "n004", "n001", "n002"]
 
 
 @given(st.integers(1, 40), st.integers(1, 40), st.integers(0, 80), st.floats(1.01, 5.0))
@@ -114,16 +114,16 @@
     assert average <= 1.0 + 1e-6
 
 
-@pytest.mark.parametrize("harm", virtual.HARMS, ids=lambda harm: harm.name)
-def test_each_harm_is_stopped_before_half_of_the_fleet_and_undone(harm: virtual.Harm) -> None:
+@pytest.mark.parametrize("harm", virtual.REGRESSIONS, ids=lambda harm: harm.name)
+def test_each_harm_is_stopped_before_half_of_the_fleet_and_undone(harm: virtual.Regression) -> None:
     end = simulated(12, 3, harm, "ours", False)
-    assert end.phase is Phase.UNDONE and end.most < 6 and end.left == 0, end
+    assert end.phase is Phase.ROLLED_BACK and end.max_new_nodes < 6 and end.remaining_new_nodes == 0, end
 
 
 def test_troubles_that_hit_both_sides_stop_nothing_as_judging_by_the_mean_would() -> None:
     ends = {judge: [simulated(12, seed, SOUND_ONE, judge, True).phase for seed in range(12)]
             for judge in ("ours", "threshold")}  # fmt: skip
-    assert ends["ours"] == [Phase.DONE] * 12 and Phase.UNDONE in ends["threshold"]
+    assert ends["ours"] == [Phase.DONE] * 12 and Phase.ROLLED_BACK in ends["threshold"]
 
 
 def test_the_driver_may_die_at_each_of_its_acts() -> None:
@@ -133,11 +133,11 @@
 
 
 def a_short_play(fleet: virtual.Fleet, seconds: int, **more: Any) -> tuple[Driver, list[Record], list[int]]:
-    plan = virtual.a_plan(len(fleet.nodes), before=3.0, watch=3.0, least=5, least_each=0, **more)
+    plan = virtual.make_plan(len(fleet.nodes), before=3.0, watch=3.0, least=5, least_each=0, **more)
     driver, log, runs = Driver(plan, "d"), [], []
     for _ in range(seconds):
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
         runs.append(sum(map(fleet.new, fleet.nodes.values())))
     return driver, log, runs
 
@@ -146,31 +146,31 @@
     fleet = virtual.Fleet(4, 1, SOUND_ONE, rate=10.0)
     fleet.cut = {"n002", "n003"}
     driver, log, runs = a_short_play(fleet, 60)
-    assert "sees 2 of 4" in driver.waits and not any(runs) and driver.document is None
+    assert "sees 2 of 4" in driver.waiting_reason and not any(runs) and driver.document is None
 
 
 def test_a_stage_that_saw_nothing_waits_and_then_holds() -> None:
     driver, log, runs = a_short_play(virtual.Fleet(4, 1, SOUND_ONE, rate=0.001), 200)
-    assert driver.phase is Phase.HOLD and "saw too little" in driver.words and max(runs) == 1
+    assert driver.phase is Phase.HOLD and "saw too little" in driver.message and max(runs) == 1
 
 
 def test_a_person_stops_it_and_has_it_go_on() -> None:
     fleet = virtual.Fleet(4, 1, SOUND_ONE, rate=10.0)
     driver, log, _ = a_short_play(fleet, 8, at_stop="hold")
     fleet.carry_out(driver.stop(), log)
-    assert driver.over and 0 < sum(driver.document.lines.values()) < 4
+    assert driver.finished and 0 < sum(driver.document.lines.values()) < 4
     driver = Driver(driver.plan, "d", log)  # the one that `start` begins later
     fleet.carry_out(driver.go_on(), log)
     for _ in range(60):
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
     assert driver.phase is Phase.DONE and {node.running for node in fleet.nodes.values()} == {1}
     fleet.carry_out(Driver(driver.plan, "d", log).undo(), log)
     driver = Driver(driver.plan, "d", log)
     for _ in range(30):
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
-    assert driver.phase is Phase.UNDONE and {node.running for node in fleet.nodes.values()} == {0}
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
+    assert driver.phase is Phase.ROLLED_BACK and {node.running for node in fleet.nodes.values()} == {0}
 
 
 def test_a_node_that_was_away_takes_what_the_fleet_has() -> None:
@@ -180,24 +180,24 @@
     assert driver.phase is Phase.DONE and fleet.nodes["n007"].running == 0
     fleet.cut = set()
     for _ in range(10):
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
     assert fleet.nodes["n007"].running == 1
 
 
 def test_programs_that_cannot_live_side_by_side_are_refused_before_anything() -> None:
     fleet = virtual.Fleet(4, 1, SOUND_ONE)
-    plan = virtual.a_plan(4)
+    plan = virtual.make_plan(4)
     change = msgspec.structs.replace(plan.change, settings={}, program=("p",), speaks={"members": 2})
     plan = msgspec.structs.replace(plan, change=change)
     assert unsound(plan) is None
     driver = Driver(plan, "d")
     for _ in range(5):
-        fleet.second()
+        fleet.advance_second()
         seen = {name: msgspec.structs.replace(each, speaks={"members": 1})
-                for name, each in fleet.seen().items()}  # fmt: skip
+                for name, each in fleet.reports().items()}  # fmt: skip
         fleet.carry_out(driver.step(fleet.now, seen), [])
-    assert driver.phase is Phase.REFUSED and "members" in driver.words
+    assert driver.phase is Phase.REFUSED and "members" in driver.message
     assert all(node.held.document is None for node in fleet.nodes.values())
 
 
--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -75,9 +75,11 @@
 @app.command()
 def speaks() -> None:
     """Print the versions of what this program says to others, for a change's file."""
-    from thornladder.rollout.counters import SPEAKS
+    from thornladder.rollout.counters import PROTOCOL_VERSIONS
 
-    print("speaks = { " + ", ".join(f"{what} = {version}" for what, version in SPEAKS.items()) + " }")
+    print(
+        "speaks = { " + ", ".join(f"{what} = {version}" for what, version in PROTOCOL_VERSIONS.items()) + " }"
+    )
 
 
 @app.command()
@@ -116,16 +118,16 @@
     from thornladder.rollout import driver, store
 
     try:
-        return store.Store(driver.log_of(file))
+        return store.Store(driver.log_path(file))
     except MalformedError as error:
-        refuse(f"{driver.log_of(file)}: {error}")
+        refuse(f"{driver.log_path(file)}: {error}")
 
 
 @rollout.command("plan")
 def rollout_plan(file: FileOfChange) -> None:
     """Check a change's file and print its stages."""
     change = _change(file)
-    order, done = change.spread(), 0
+    order, done = change.rollout_order(), 0
     print(f"{change.change.name}: {len(order)} nodes")
     for number, size in enumerate(change.stage_sizes(), 1):
         names = ", ".join(order[done:size]) or "nothing new"
@@ -161,7 +163,7 @@
     except MalformedError as error:
         refuse(f"{file}: {error}")
     phase = anyio.run(run.run)
-    why = f", {run.driver.words}" if run.driver.words != phase.value else ""
+    why = f", {run.driver.message}" if run.driver.message != phase.value else ""
     print(f"{change.change.name}: {phase.value}{why}")
     raise typer.Exit(0 if phase is driver.Phase.DONE else 1)
 
@@ -176,7 +178,7 @@
     change, store = _change(file), _log(file)
     try:
         run = driver.Run(change, store, print)
-        print(driver.status(store, anyio.run(run.look)))
+        print(driver.status(store, anyio.run(run.poll_keepers)))
     except MalformedError as error:
         refuse(f"{file}: {error}")
 
@@ -184,7 +186,7 @@
 def _wish(word: str, help: str) -> None:
     def command(file: FileOfChange) -> None:
         _change(file)
-        _log(file).wish(word)
+        _log(file).add_request(word)
 
     command.__doc__ = help
     rollout.command(word)(command)
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -26,30 +26,34 @@
 from thornladder.rollout.judge import Judge
 
 STATED = 0.01  # chance of a false stop
-SOUND_ONE = virtual.Harm()
-REFUSED = virtual.Harm("refused", refused="it did not take the settings")
-JUDGES: dict[str, type[Judge]] = {"ours": Judge, "threshold": virtual.Threshold, "blind": virtual.Blind}
+SOUND_ONE = virtual.Regression()
+REFUSED = virtual.Regression("refused", refused="it did not take the settings")
+JUDGES: dict[str, type[Judge]] = {
+    "ours": Judge,
+    "threshold": virtual.ThresholdJudge,
+    "blind": virtual.NeverStops,
+}
 
 
 # In virtual time.
 
 
-def simulated(size: int, seed: int, harm: virtual.Harm, judge: str, trouble: bool) -> virtual.Outcome:
-    fleet = virtual.Fleet(size, seed, harm, virtual.troubles(seed) if trouble else ())
+def simulated(size: int, seed: int, harm: virtual.Regression, judge: str, trouble: bool) -> virtual.Outcome:
+    fleet = virtual.Fleet(size, seed, harm, virtual.draw_incidents(seed) if trouble else ())
     heaviest = max(fleet.nodes.values(), key=lambda node: node.rate).name
-    plan = virtual.a_plan(size, first=(heaviest,))
-    return virtual.play(fleet, plan, JUDGES[judge](plan.worse, plan.false_stops))[0]
+    plan = virtual.make_plan(size, first=(heaviest,))
+    return virtual.simulate(fleet, plan, JUDGES[judge](plan.worse, plan.false_stops))[0]
 
 
-def killed_at(place: int, harm: virtual.Harm = SOUND_ONE, seed: int = 1) -> tuple[bool, str, int]:
+def killed_at(place: int, harm: virtual.Regression = SOUND_ONE, seed: int = 1) -> tuple[bool, str, int]:
     """The driver dies before its act number `place`, and one goes on from its log. Whether it came so far."""
     fleet = virtual.Fleet(4, seed, harm, rate=10.0)
-    plan = virtual.a_plan(4, before=3.0, watch=3.0, least=5, least_each=0, stages=(1, 0.5, 1.0))
+    plan = virtual.make_plan(4, before=3.0, watch=3.0, least=5, least_each=0, stages=(1, 0.5, 1.0))
     log: list[Any] = []
     driver, done, died = Driver(plan, "d"), 0, False
-    while fleet.now < 400.0 and not driver.over:
-        fleet.second()
-        for act in driver.step(fleet.now, fleet.seen()):
+    while fleet.now < 400.0 and not driver.finished:
+        fleet.advance_second()
+        for act in driver.step(fleet.now, fleet.reports()):
             if done == place and not died:
                 died = True
                 driver = Driver(plan, "d", log)
@@ -57,13 +61,13 @@
             fleet.carry_out([act], log)
             done += 1
     for _ in range(5):
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
     lines = {node.running for node in fleet.nodes.values()}
     return died, driver.phase.value, len(lines)
 
 
-def every_death(harm: virtual.Harm) -> list[tuple[str, int]]:
+def every_death(harm: virtual.Regression) -> list[tuple[str, int]]:
     """How each change ended whose driver died once, at each place where it can."""
     ended = []
     for place in range(1000):
@@ -76,15 +80,15 @@
 
 def in_virtual_time(points: Points, pool: ProcessPoolExecutor, full: bool) -> None:
     seeds = range(20 if full else 5)
-    for harm in virtual.HARMS:
+    for harm in virtual.REGRESSIONS:
         jobs = [(12, seed, harm, "ours", False) for seed in seeds]
         done = list(pool.map(simulated, *zip(*jobs, strict=True)))
-        caught = [each for each in done if each.phase is Phase.UNDONE and not each.left]
+        caught = [each for each in done if each.phase is Phase.ROLLED_BACK and not each.remaining_new_nodes]
         points.at_least(f"12 nodes, {harm.name}: stopped and undone, of {len(done)}", len(caught), len(done),
                         f"0-{len(done) - 1}", stages=sorted({each.stage for each in done}),
                         seconds=statistics.median(each.seconds for each in done),
-                        harmed=statistics.median(each.harmed for each in done))  # fmt: skip
-        most = max(each.most for each in done)
+                        harmed=statistics.median(each.harmed_invocations for each in done))  # fmt: skip
+        most = max(each.max_new_nodes for each in done)
         name = f"12 nodes, {harm.name}: most that ran it"
         points.at_most(name, most, 5, f"0-{len(done) - 1}")
         for judge in ("threshold", "blind"):
@@ -93,9 +97,9 @@
             missed = sum(each.phase is Phase.DONE for each in other)
             points.told(f"baseline {judge}, {harm.name}: went through, of {len(other)}", missed,
                         f"0-{len(other) - 1}",
-                        harmed=statistics.median(each.harmed for each in other))  # fmt: skip
+                        harmed=statistics.median(each.harmed_invocations for each in other))  # fmt: skip
     for judge in JUDGES:
-        jobs = [(12, seed, virtual.Harm(), judge, True) for seed in range(200)]
+        jobs = [(12, seed, virtual.Regression(), judge, True) for seed in range(200)]
         done = list(pool.map(simulated, *zip(*jobs, strict=True), chunksize=5))
         stopped = sum(each.phase is not Phase.DONE for each in done)
         name = f"sound changes under troubles, {judge}: stopped, of 200"
@@ -124,11 +128,13 @@
 
 def walked(seed: int) -> str:
     """Two drivers and three nodes through a drawn course of deaths and losses, then all is well."""
-    chance, spot = Random(seed), explore.begin(Driver)
+    chance, spot = Random(seed), explore.initial_state(Driver)
     for _ in range(chance.randint(5, 60)):
-        if wrong := explore.take(spot, chance.choice(explore.choices(spot) or ["look x 0"]), Driver):
+        if wrong := explore.apply_step(
+            spot, chance.choice(explore.possible_steps(spot) or ["look x 0"]), Driver
+        ):
             return wrong
-    return explore.settle(spot)
+    return explore.run_to_quiet(spot)
 
 
 # What counting costs.
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -31,8 +31,8 @@
 from thornladder.rig.processes import NodeProcess
 from thornladder.rig.relay import PORT, Ends, Relay
 from thornladder.rig.standins import Backend, Cold, Ledger, Listing
-from thornladder.rollout.driver import log_of
-from thornladder.rollout.orders import FORM as FORM_OF_ORDERS
+from thornladder.rollout.driver import log_path
+from thornladder.rollout.orders import FORMAT_VERSION as FORM_OF_ORDERS
 from thornladder.rollout.store import Store
 
 FORM = 1  # of the result file
@@ -538,7 +538,7 @@
                 "core": counters.get("core", 0.0),
                 "taken": sum(row["counts"][0] for row in counters.get("offerings", {}).values()),
             }  # fmt: skip
-        store = Store(log_of(self.file))
+        store = Store(log_path(self.file))
         records = []
         for at, record in store.records():
             new = sum(map(bool, record.document.lines.values())) if record.document else None
--- a/thornladder/rig/processes.py
+++ b/thornladder/rig/processes.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from thornladder.children import ended_with_us
-from thornladder.rollout.keeper import THIS
+from thornladder.rollout.keeper import DEFAULT_NODE_COMMAND
 
 
 @dataclass
@@ -56,7 +56,7 @@
             kept, file = self.folder / "kept", self.folder / "keeper.toml"
             kept.mkdir(exist_ok=True)
             told = {**self.keeper, "name": self.name, "folder": str(kept), "config": str(path),
-                    "program": [*THIS, *command[5:]]}  # fmt: skip
+                    "program": [*DEFAULT_NODE_COMMAND, *command[5:]]}  # fmt: skip
             file.write_bytes(msgspec.toml.encode(told))
             command = [sys.executable, "-B", "-m", "thornladder.cli", "keep", str(file)]
         environment = {
--- a/thornladder/rollout/core.py
+++ b/thornladder/rollout/core.py
@@ -25,14 +25,14 @@
     ACT = "changing"
     WATCH = "watching"
     HOLD = "on hold"
-    UNDO = "undoing"
+    ROLL_BACK = "undoing"
     DONE = "done"
-    UNDONE = "undone"
+    ROLLED_BACK = "undone"
     OVERTAKEN = "overtaken"
     REFUSED = "refused"
 
 
-ENDS = frozenset({Phase.DONE, Phase.UNDONE, Phase.OVERTAKEN, Phase.REFUSED, Phase.HOLD})
+ENDS = frozenset({Phase.DONE, Phase.ROLLED_BACK, Phase.OVERTAKEN, Phase.REFUSED, Phase.HOLD})
 AWAY = 30.0  # seconds unseen after which a node that was ordered is not waited for: it takes it when back
 STALE = 5.0  # seconds: older counters are those of a node that is paused, and are not judged
 
@@ -90,25 +90,25 @@
     ) -> None:
         """`driver`: a name that no other driver has, ever. `records`: of the log, in order."""
         self.plan, self.name = plan, driver
-        self.order = plan.spread()
+        self.order = plan.rollout_order()
         self.sizes = plan.stage_sizes()
         self.judge = judge or Judge(plan.worse, plan.false_stops)
-        self.phase, self.stage, self.words = Phase.CLAIM, 0, ""
+        self.phase, self.stage, self.message = Phase.CLAIM, 0, ""
         self.claim: Claim | None = None
         self.document: Document | None = None
         self.began: float | None = None  # the phase, as this process saw it
         self.ordered: dict[str, float] = {}  # nodes sent something new, since when they are waited for
-        self.waits = ""  # for what
+        self.waiting_reason = ""  # for what
         self.paused = False
         self.harmed = 0
         for record in records:
-            self.phase, self.stage, self.words = Phase(record.phase), record.stage, record.words
+            self.phase, self.stage, self.message = Phase(record.phase), record.stage, record.words
             self.claim = record.claim or self.claim
             self.document = record.document or self.document
-        self.resumed = bool(records) and self.phase in (Phase.ACT, Phase.WATCH, Phase.UNDO)
+        self.resumed = bool(records) and self.phase in (Phase.ACT, Phase.WATCH, Phase.ROLL_BACK)
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         return self.phase in ENDS
 
     @property
@@ -123,10 +123,10 @@
     # Orders of a person.
 
     def stop(self, words: str = "a person stopped it") -> list[Act]:
-        return [] if self.over or self.document is None else self._halt(words)
+        return [] if self.finished or self.document is None else self._halt(words)
 
     def undo(self) -> list[Act]:
-        if self.document is None or self.phase in (Phase.OVERTAKEN, Phase.REFUSED, Phase.UNDONE):
+        if self.document is None or self.phase in (Phase.OVERTAKEN, Phase.REFUSED, Phase.ROLLED_BACK):
             return []
         return self._undo("a person has it undone")
 
@@ -142,7 +142,7 @@
 
     def step(self, now: float, seen: Mapping[str, Seen]) -> list[Act]:
         """Once a second or so. `seen`: who answered."""
-        self.waits = ""
+        self.waiting_reason = ""
         if self.began is None:
             self.began = now
         seen = {name: each for name, each in seen.items() if name in self.plan.nodes}
@@ -152,19 +152,19 @@
             return self._end(Phase.OVERTAKEN, overtaken)
         acts = self._again(seen)
         few = len(seen) < math.ceil(self.plan.see * len(self.plan.nodes) - 1e-9)
-        if few and not self.over:
-            self.waits = f"sees {len(seen)} of {len(self.plan.nodes)} nodes"
+        if few and not self.finished:
+            self.waiting_reason = f"sees {len(seen)} of {len(self.plan.nodes)} nodes"
             self._quiet(now)
             return acts
         if self.phase is Phase.CLAIM:
             return acts + self._claim(seen)
-        if self.paused or self.over:
-            self.waits = "paused by a person" if self.paused else ""
+        if self.paused or self.finished:
+            self.waiting_reason = "paused by a person" if self.paused else ""
             return acts
         if self.phase is Phase.BEFORE:
             return acts + self._before(now, seen)
         self._look(now, seen)
-        if self.phase is Phase.UNDO:
+        if self.phase is Phase.ROLL_BACK:
             return acts + self._bring(now, seen, self.document.before)
         if trouble := self._trouble(now, seen):
             return acts + self._halt(trouble)
@@ -202,7 +202,7 @@
             if 2 * len(rivals) >= len(self.plan.nodes) or len(granted) + len(rivals) == len(self.plan.nodes):
                 return self._end(Phase.OVERTAKEN, f"another driver has begun change {self.claim.number}")
             asked = tuple(name for name in sorted(seen) if name not in granted)
-            self.waits = f"{len(granted)} of {len(self.plan.nodes)} nodes take its orders"
+            self.waiting_reason = f"{len(granted)} of {len(self.plan.nodes)} nodes take its orders"
             return [Ask(asked, self.claim)]
         held = [each.document for each in seen.values() if each.document]
         base = max(held, key=lambda document: document.order, default=None)
@@ -263,13 +263,13 @@
         if chosen:
             self.ordered.update(dict.fromkeys(chosen, now))
             revised = self._revised(lines={**document.lines, **{name: lines[name] for name in chosen}})
-            verb = "undone at" if self.phase is Phase.UNDO else "changed at"
+            verb = "undone at" if self.phase is Phase.ROLL_BACK else "changed at"
             return self._write(self.phase, self.stage, f"{verb} {', '.join(chosen)}", revised)
         if behind or [name for name in out if name in self.ordered]:
-            self.waits = f"waits for {', '.join(sorted(out)[:5])}"
+            self.waiting_reason = f"waits for {', '.join(sorted(out)[:5])}"
             return []
-        if self.phase is Phase.UNDO:
-            return self._write(Phase.UNDONE, self.stage, "undone", self._revised("undone"))
+        if self.phase is Phase.ROLL_BACK:
+            return self._write(Phase.ROLLED_BACK, self.stage, "undone", self._revised("undone"))
         self.judge.new_stage()
         words = f"stage {self.stage + 1}: watching {len(self.fresh())} nodes"
         return self._write(Phase.WATCH, self.stage, words)
@@ -317,7 +317,7 @@
         watched = now - self.began
         taken = self.judge.taken[1]
         if watched < plan.watch:
-            self.waits = f"watched for {watched:.0f} of {plan.watch:.0f} s"
+            self.waiting_reason = f"watched for {watched:.0f} of {plan.watch:.0f} s"
             return []
         why = ""
         if taken < plan.least:
@@ -329,7 +329,7 @@
         if why and watched > plan.longest * plan.watch:
             return self._write(Phase.HOLD, self.stage, f"stage {self.stage + 1} {why}", self._revised("hold"))
         if why:
-            self.waits = f"stage {self.stage + 1} {why}"
+            self.waiting_reason = f"stage {self.stage + 1} {why}"
             return []
         if self.stage + 1 < len(self.sizes):
             return self._write(Phase.ACT, self.stage + 1, f"stage {self.stage + 2} begins")
@@ -344,7 +344,7 @@
 
     def _undo(self, words: str) -> list[Act]:
         self.ordered.clear()
-        return self._write(Phase.UNDO, self.stage, words, self._revised("undoing"))
+        return self._write(Phase.ROLL_BACK, self.stage, words, self._revised("undoing"))
 
     def _quiet(self, now: float) -> None:
         """Time in which too few were seen is not time in which the new was watched."""
@@ -359,7 +359,7 @@
         )  # fmt: skip
 
     def _write(self, phase: Phase, stage: int, words: str, document: Document | None = None) -> list[Act]:
-        self.phase, self.stage, self.words = phase, stage, words
+        self.phase, self.stage, self.message = phase, stage, words
         self.began = None
         acts: list[Act] = [Write(Record(phase.value, stage, words, None, document))]
         if document is not None:
@@ -368,7 +368,7 @@
         return acts
 
     def _end(self, phase: Phase, words: str) -> list[Act]:
-        self.phase, self.words = phase, words
+        self.phase, self.message = phase, words
         return [Write(Record(phase.value, self.stage, words))]
 
 
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -30,7 +30,7 @@
 DIGITS = 2  # of a time that are kept: a twentieth of a fifth slower is still seen
 MOST_TENANTS = 50  # counted apart; clients make names up, and the rest are one
 OTHERS = "(others)"
-SPEAKS = {"members": VERSION, "orders": 1}  # versions of what this program says to others
+PROTOCOL_VERSIONS = {"members": VERSION, "orders": 1}  # versions of what this program says to others
 TAKEN, BAD, NACKED, TERMINATED, LATE, GONE, FURTHER = range(7)
 KINDS = ("taken", "bad", "nacked", "terminated", "late", "gone", "further")
 
@@ -117,7 +117,7 @@
         }
         return AdminResponse(200, {
             "name": self.name, "process": f"{os.getpid()}.{self.began:.3f}", "program": self.program,
-            "settings": self._held[1], "speaks": SPEAKS, "kinds": KINDS, "offerings": offerings,
+            "settings": self._held[1], "speaks": PROTOCOL_VERSIONS, "kinds": KINDS, "offerings": offerings,
             "tenants": {name: list(row) for name, row in self.tenants.items()},
             "seconds": round(self.clock() - self.began, 3), "core": round(time.process_time(), 4),
             "memory": _memory(),
--- a/thornladder/rollout/driver.py
+++ b/thornladder/rollout/driver.py
@@ -46,20 +46,20 @@
         over_since: float | None = None
         while True:
             began = time.monotonic()
-            seen = await self.look()
+            seen = await self.poll_keepers()
             self._heed()
             now = time.monotonic()
             acts = self.driver.step(now, seen)
             await self.carry_out(acts)
             self._tell()
-            if self.driver.over:
+            if self.driver.finished:
                 over_since = over_since or now
                 behind = any(isinstance(act, Tell) for act in acts)
                 if not behind or now - over_since > LAST:
                     return self.driver.phase
             await anyio.sleep(max(STEP - (time.monotonic() - began), 0.0))
 
-    async def look(self) -> dict[str, Seen]:
+    async def poll_keepers(self) -> dict[str, Seen]:
         """Who answers."""
         seen: dict[str, Seen] = {}
 
@@ -115,10 +115,13 @@
         return await anyio.to_thread.run_sync(_call, address, path, body, limiter=self.room)
 
     def _tell(self) -> None:
-        waits = self.driver.waits.partition(" for ")[0] if "watched for" in self.driver.waits else (
-            self.driver.waits)  # fmt: skip
+        waits = (
+            self.driver.waiting_reason.partition(" for ")[0]
+            if "watched for" in self.driver.waiting_reason
+            else self.driver.waiting_reason
+        )
         if waits and waits != self.told:
-            self.say(self.driver.waits)
+            self.say(self.driver.waiting_reason)
         self.told = waits
 
 
@@ -129,7 +132,7 @@
         return None  # a refusal too: what the node holds shows why at the next look
 
 
-def log_of(file: Path) -> Path:
+def log_path(file: Path) -> Path:
     """Beside the plan."""
     return file.with_suffix(".log.sqlite")
 
--- a/thornladder/rollout/explore.py
+++ b/thornladder/rollout/explore.py
@@ -23,7 +23,7 @@
 MOST_FLYING = 3  # more are lost, as in a full queue
 
 
-def a_plan(name: str) -> Plan:
+def make_plan(name: str) -> Plan:
     nodes = {node: f"10.0.0.{k + 1}:1" for k, node in enumerate(NODES)}
     return Plan(change=Change(name=name, settings={"v": name}), nodes=nodes, stages=(1, 1.0), before=0.0,
                 watch=0.0, least=0, least_each=0, see=0.6, out=2, over_stopped=True)  # fmt: skip
@@ -59,26 +59,26 @@
         return None
 
 
-def begin(make: type[Driver]) -> Spot:
+def initial_state(make: type[Driver]) -> Spot:
     spot = Spot()
     for name in DRIVERS:
-        spot.drivers[name] = make(a_plan(name), name, judge=Trusting(a_plan(name).worse, 0.01))
+        spot.drivers[name] = make(make_plan(name), name, judge=Trusting(make_plan(name).worse, 0.01))
     return spot
 
 
-def choices(spot: Spot) -> list[str]:
+def possible_steps(spot: Spot) -> list[str]:
     can = [f"{what} {k}" for k in range(len(spot.flying)) for what in ("deliver", "lose")]
     for name, driver in spot.drivers.items():
         if spot.acts[name]:
             can.append(f"act {name}")
-        elif not driver.over:
+        elif not driver.finished:
             can += [f"look {name} {view}" for view in range(len(VIEWS))]
         if spot.kills and (spot.logs[name] or spot.acts[name]):
             can.append(f"kill {name}")
     return can
 
 
-def take(spot: Spot, choice: str, make: type[Driver]) -> str:
+def apply_step(spot: Spot, choice: str, make: type[Driver]) -> str:
     """Does it, in place; what is broken after it, if anything is."""
     what, which, *rest = choice.split()
     if what in ("deliver", "lose"):
@@ -107,7 +107,7 @@
     else:
         spot.kills -= 1
         spot.acts[which] = []
-        plan = a_plan(which)
+        plan = make_plan(which)
         spot.drivers[which] = make(plan, which, spot.logs[which], Trusting(plan.worse, 0.01))
     return broken(spot)
 
@@ -132,23 +132,25 @@
 
 def explore(depth: int, most: int, make: type[Driver] = Driver) -> Result:
     """All states that `depth` steps lead to, or the first `most` of them."""
-    return breadth_first(begin(make), choices, lambda spot, choice: take(spot, choice, make), depth, most)
+    return breadth_first(
+        initial_state(make), possible_steps, lambda spot, choice: apply_step(spot, choice, make), depth, most
+    )
 
 
-def settle(spot: Spot, make: type[Driver] = Driver, most: int = 200) -> str:
+def run_to_quiet(spot: Spot, make: type[Driver] = Driver, most: int = 200) -> str:
     """From here on all goes well: what the fleet ends in, where that is nothing stated."""
     for round in range(most):
         for name in (*DRIVERS, DRIVERS[round % 2]):
             while spot.acts[name]:
-                take(spot, f"act {name}", make)
+                apply_step(spot, f"act {name}", make)
             while spot.flying:
-                if wrong := take(spot, "deliver 0", make):
+                if wrong := apply_step(spot, "deliver 0", make):
                     return wrong
-            if not spot.drivers[name].over or round > most - 3:
-                take(spot, f"look {name} 0", make)
+            if not spot.drivers[name].finished or round > most - 3:
+                apply_step(spot, f"look {name} 0", make)
     orders = {held.order for held in spot.held.values()}
     phases = [driver.phase for driver in spot.drivers.values()]
-    if not all(driver.over for driver in spot.drivers.values()):
+    if not all(driver.finished for driver in spot.drivers.values()):
         return f"a driver never ends: {[phase.value for phase in phases]}"
     if Phase.DONE in phases and len(orders) != 1:
         return f"nodes hold different orders: {orders}"
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -43,7 +43,7 @@
 PATIENCE = 1.0  # seconds for an answer on the machine itself
 BACK_OFF = (0.5, 10.0)  # seconds until a node that ended by itself is started again: doubled, and at most
 LASTED = 30.0  # seconds that it ran, from which on the wait begins anew
-THIS = (sys.executable, "-B", "-m", "thornladder.cli", "node", "--counters")
+DEFAULT_NODE_COMMAND = (sys.executable, "-B", "-m", "thornladder.cli", "node", "--counters")
 FIRST = Variant("as the keepers' files say")
 
 
@@ -336,7 +336,7 @@
 
     def _start(self, admin: str, variant: Variant) -> Process:
         settings = self._write(variant)
-        words = variant.program or self.config.program or THIS
+        words = variant.program or self.config.program or DEFAULT_NODE_COMMAND
         environment = {**os.environ, "EDGE_CONFIG": str(self.folder / "config.json"),
                        "EDGE_ADMIN_ADDR": admin, "TMPDIR": str(self.folder)}  # fmt: skip
         kept: tuple[int, ...] = ()
--- a/thornladder/rollout/orders.py
+++ b/thornladder/rollout/orders.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-FORM = 1
+FORMAT_VERSION = 1
 MOST_DOCUMENT = 512 * 1024  # bytes
 
 
@@ -33,7 +33,7 @@
     lines: dict[str, int]  # node to variant
     before: dict[str, int]  # the lines at the change's start, for its undoing
     stands: str  # "going", "hold", "undoing", "done", "undone"
-    form: int = FORM
+    form: int = FORMAT_VERSION
 
     @property
     def order(self) -> tuple[int, int]:
@@ -70,7 +70,7 @@
 
     def take(self, document: Document) -> str | None:
         """None: it is held from now on, or was already. Else why not."""
-        if document.form != FORM:
+        if document.form != FORMAT_VERSION:
             return f"form {document.form} is not understood"
         if document.number < self.claim.number:
             return f"overtaken by number {self.claim.number}"
--- a/thornladder/rollout/plan.py
+++ b/thornladder/rollout/plan.py
@@ -59,7 +59,7 @@
             sizes.append(max(min(math.floor(stage * count + 1e-9) if share else int(stage), count), 1))
         return sizes
 
-    def spread(self) -> list[str]:
+    def rollout_order(self) -> list[str]:
         """All nodes in the order of their turn: zones alternate."""
         zones: dict[str, list[str]] = {}
         for name in sorted(set(self.nodes) - set(self.first)):
--- a/thornladder/rollout/store.py
+++ b/thornladder/rollout/store.py
@@ -56,7 +56,7 @@
                 raise MalformedError(f"record {number} of the log is damaged")
         return [(at, msgspec.json.decode(text, type=Record)) for _, at, _, text in rows]
 
-    def wish(self, word: str) -> None:
+    def add_request(self, word: str) -> None:
         """Of a person, for the driver that runs or the next one."""
         self.base.execute("insert into wishes (word) values (?)", (word,))
 
--- a/thornladder/rollout/virtual.py
+++ b/thornladder/rollout/virtual.py
@@ -27,7 +27,7 @@
 START = 1.0  # seconds until a node that ended is back
 
 
-class Harm(NamedTuple):
+class Regression(NamedTuple):
     """What the new does worse; nothing for a sound change."""
 
     name: str = "sound"
@@ -43,13 +43,16 @@
     refused: str = ""
 
 
-HARMS = (
-    Harm("ends at its start", ends=0.3), Harm("ends after a minute", ends=60.0),
-    Harm("never ready", ready=False),
-    Harm("settings refused", refused="it did not take the settings"), Harm("leaks 1 MB/s", leak=1e6),
-    Harm("slower by 20% in 3% of traffic", slower=1.2, only="rare"), Harm("nacks 3% more", bad=0.03),
-    Harm("slower by half at heavy nodes", slower=1.5, heavy=True), Harm("pushes more", further=0.2),
-    Harm("a third more core", core=1.33),
+REGRESSIONS = (
+    Regression("ends at its start", ends=0.3), Regression("ends after a minute", ends=60.0),
+    Regression("never ready", ready=False),
+    Regression("settings refused", refused="it did not take the settings"),
+    Regression("leaks 1 MB/s", leak=1e6),
+    Regression("slower by 20% in 3% of traffic", slower=1.2, only="rare"),
+    Regression("nacks 3% more", bad=0.03),
+    Regression("slower by half at heavy nodes", slower=1.5, heavy=True),
+    Regression("pushes more", further=0.2),
+    Regression("a third more core", core=1.33),
 )  # fmt: skip
 
 
@@ -85,7 +88,7 @@
 
 class Fleet:
     def __init__(
-        self, size: int, seed: int, harm: Harm, troubles: Sequence[Trouble] = (), rate: float = 30.0
+        self, size: int, seed: int, harm: Regression, troubles: Sequence[Trouble] = (), rate: float = 30.0
     ) -> None:
         self.chance, self.harm, self.troubles = Random(seed), harm, troubles
         self.nodes: dict[str, Node] = {}
@@ -108,7 +111,7 @@
     def new(self, node: Node) -> bool:
         return node.running > 0
 
-    def second(self) -> None:
+    def advance_second(self) -> None:
         """One second of all nodes."""
         self.now += 1.0
         worse = [each for each in self.troubles if each.at <= self.now < each.at + each.lasts]
@@ -166,7 +169,7 @@
                 self.harmed += count
             node.core += count * 0.001 * chance.uniform(0.9, 1.1) * (harm.core if worse else 1.0)
 
-    def seen(self) -> dict[str, Seen]:
+    def reports(self) -> dict[str, Seen]:
         told = {}
         for node in self.nodes.values():
             if node.name in self.cut:
@@ -206,19 +209,19 @@
     words: str
     stage: int  # from 1, of the end
     seconds: float  # from the change's start to its end, undoing not counted
-    most: int  # nodes that ran the new at once
-    harmed: int
-    left: int  # nodes that run the new at the end
+    max_new_nodes: int  # nodes that ran the new at once
+    harmed_invocations: int
+    remaining_new_nodes: int  # nodes that run the new at the end
 
 
-class Blind(Judge):
+class NeverStops(Judge):
     """A baseline that does not look."""
 
     def finding(self) -> Finding:
         return Finding(False, 0.0, "", 0.0, False)
 
 
-class Threshold(Judge):
+class ThresholdJudge(Judge):
     """A baseline: stopped when the mean share of bad ones at new nodes is over the stated, of late."""
 
     LIMIT = 0.02
@@ -243,29 +246,29 @@
         return Finding(over, 0.0, "mean", self.hits / max(self.count, 1.0), False)
 
 
-def a_plan(size: int, **more: Any) -> Plan:
+def make_plan(size: int, **more: Any) -> Plan:
     nodes = {f"n{number:03}": f"10.0.{number // 250}.{number % 250 + 1}:1" for number in range(size)}
     return Plan(change=Change(name="new", settings={"a": 1}), nodes=nodes, **more)
 
 
-def play(
+def simulate(
     fleet: Fleet, plan: Plan, judge: Judge | None = None, most: float = 1500.0
 ) -> tuple[Outcome, list[Record]]:  # fmt: skip
     log: list[Record] = []
     driver = Driver(plan, "d", judge=judge)
     widest, ended = 0, 0.0
-    while fleet.now < most and not driver.over:
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
+    while fleet.now < most and not driver.finished:
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
         widest = max(widest, sum(map(fleet.new, fleet.nodes.values())))
-        if driver.phase not in (Phase.UNDO, Phase.UNDONE):
+        if driver.phase not in (Phase.ROLL_BACK, Phase.ROLLED_BACK):
             ended = fleet.now
-    why = next((record.words for record in log if record.words.startswith("stopped")), driver.words)
+    why = next((record.words for record in log if record.words.startswith("stopped")), driver.message)
     left = sum(map(fleet.new, fleet.nodes.values()))
     return Outcome(driver.phase, why, driver.stage + 1, ended, widest, fleet.harmed, left), log
 
 
-def troubles(seed: int) -> list[Trouble]:
+def draw_incidents(seed: int) -> list[Trouble]:
     """A few, seeded, that overlap as they fall."""
     chance = Random(f"troubles {seed}")
     return [Trouble(chance.uniform(0.0, 300.0), chance.uniform(2.0, 60.0), chance.choice((0.0, 0.02, 0.3)),
