--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from thornladder.membership import baselines
-from thornladder.membership.core import Core, Way
+from thornladder.membership.core import Core, Reachability
 from thornladder.membership.wire import VERSION, Item, Kind, Message, State, decode, encode
 from thornladder.rig.faults import Fault, Weather, check
 from thornladder.rig.virtual import World, ours
@@ -103,8 +103,8 @@
 
 
 FORMS = {
-    "a to b cut": (("n00",), ("n01",), {("n00", "n01"): Way.DEAF, ("n01", "n00"): Way.MUTE}),
-    "b deaf to all": (("*",), ("n01",), {("n00", "n01"): Way.DEAF}),
+    "a to b cut": (("n00",), ("n01",), {("n00", "n01"): Reachability.INBOUND_ONLY, ("n01", "n00"): Reachability.OUTBOUND_ONLY}),
+    "b deaf to all": (("*",), ("n01",), {("n00", "n01"): Reachability.INBOUND_ONLY}),
 }
 
 
@@ -112,10 +112,10 @@
 def test_a_one_sided_cut_is_named(name: str) -> None:
     source, target, forms = FORMS[name]
     world = World(NAMES, [fault("cut", 5, 60, source=source, target=target)], 3)
-    seen: set[tuple[str, str, Way]] = set()
+    seen: set[tuple[str, str, Reachability]] = set()
 
     def look(world: World, place: object) -> None:
-        seen.update((by, of, world.places[by].core.peers[of].way) for by, of in forms)
+        seen.update((by, of, world.places[by].core.peers[of].reachability) for by, of in forms)
 
     world.checks.append(look)
     world.run(60)
@@ -137,14 +137,14 @@
     faults = [fault("pause", 5.0 + 0.37 * k + 10 * k, 8.0, nodes=("n01",)) for k in range(6)]
     world = World(NAMES, faults, 5)
     world.run(70)
-    assert world.places["n01"].core.counters.accused == 0 and world.places["n01"].core.counters.late >= 6
+    assert world.places["n01"].core.counters.reports_made == 0 and world.places["n01"].core.counters.pauses >= 6
 
 
 class NeverRefutes(Core):
-    def _about_me(self, item: Item, narrow: bool = False) -> None:
+    def _on_item_about_self(self, item: Item, unconfirmed: bool = False) -> None:
         pass
 
-    def _lives(self, peer: object) -> None:
+    def _note_alive(self, peer: object) -> None:
         pass
 
 
@@ -153,30 +153,30 @@
 
     def __init__(self, *given: object, **more: object) -> None:
         super().__init__(*given, **more)
-        self._count_out(self.own_item)
+        self._remove_from_view(self.own_item)
         self.birth = 7
-        self._count_in(self.own_item)
+        self._add_to_view(self.own_item)
 
-    def _about_me(self, item: Item, narrow: bool = False) -> None:
+    def _on_item_about_self(self, item: Item, unconfirmed: bool = False) -> None:
         pass
 
 
 class AccusesAfterPause(Core):
     isolated = False  # which by itself holds it back too
 
-    def _clock(self, now: float) -> None:
+    def _advance_clock(self, now: float) -> None:
         self.now = max(self.now, now)
 
 
 class NeverMerges(Core):
-    def _seek(self) -> None:
+    def _try_rejoin(self) -> None:
         pass
 
-    def _sync_soon(self, address: str) -> None:
+    def _request_sync(self, address: str) -> None:
         if not self.joined:
-            super()._sync_soon(address)
+            super()._request_sync(address)
 
-    def _tell(self, peer: object, address: str) -> None:
+    def _notify_subject(self, peer: object, address: str) -> None:
         pass
 
 
@@ -202,7 +202,7 @@
     world = World(NAMES, faults, 2, make=maker)
     world.run(60)
     paused = {name for each in faults if each.kind == "pause" for name in each.nodes}
-    return world.one_view() and not any(world.places[name].core.counters.accused for name in paused)
+    return world.one_view() and not any(world.places[name].core.counters.reports_made for name in paused)
 
 
 @pytest.mark.parametrize("name", PLANTED)
--- a/thornladder/membership/__init__.py
+++ b/thornladder/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there among the nodes: a pure core, its transport, and the part that runs beside a node."""
+"""Fleet membership: the protocol core, its network transport, and the extension that runs it in a node."""
--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -1,4 +1,7 @@
-"""Membership beside a node: its processes are one member, and the module is told how many nodes there are."""
+"""The node extension that takes part in a fleet's membership and tells the node how many nodes there are.
+
+The processes of one node, the old and the new one during an upgrade, are one member.
+"""
 
 from __future__ import annotations
 
@@ -23,19 +26,23 @@
 from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.handover import StateFile
 
-LOOK = 0.1  # seconds between looks whether the other process of this node still is the member
-COUNT = 0.5  # seconds between looks at the number of nodes
-AGAIN = 1.0  # seconds until an address that could not be had is tried again
-LAST = 0.05  # seconds until what a leaving member says is surely on its way
+LOCK_POLL_SECONDS = 0.1  # between attempts to take the member lock from the node's other process
+FLEET_SIZE_POLL_SECONDS = 0.5
+BIND_RETRY_SECONDS = 1.0
+LEAVE_FLUSH_SECONDS = 0.05  # lets the datagrams of a leaving member go out before the socket closes
 
 
 class MemberLock:
-    """Which process of a node is the member: the one that holds a lock, which any death frees."""
+    """File lock that decides which process of a node is the member.
+
+    The kernel releases it when the process ends in any way.
+    """
 
     def __init__(self, folder: str, name: str) -> None:
         self.path = StateFile(folder, name, "member").path
 
     def try_acquire(self) -> int | None:
+        """File descriptor that holds the lock until it is closed, or None while another process holds it."""
         descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -46,7 +53,7 @@
 
 
 class Membership:
-    """The companion that takes part in a fleet."""
+    """Node extension that runs the membership protocol and serves `/members`."""
 
     descriptors = Transport.DESCRIPTORS + 1
 
@@ -65,87 +72,91 @@
 
     def start(self, context: NodeContext) -> None:
         self.context, self.log = context, context.log
-        self.count = FleetSize(context.configured_nodes, self.config.hold, self.config.lower_after)
+        self.fleet_size = FleetSize(context.configured_nodes, self.config.hold, self.config.lower_after)
         self.scope = anyio.CancelScope()
         context.tasks.supervise("membership", self._run)
 
     async def stop(self, has_successor: bool) -> None:
-        """An upgrade goes on as the same member; else the others are told."""
+        """Announces the departure, unless a successor process continues as the same member."""
         if self.core is not None and self.transport is not None and not has_successor:
             self.core.leave(time.monotonic())
-            self.transport.say()
-            await anyio.sleep(LAST)
+            self.transport.send_pending()
+            await anyio.sleep(LEAVE_FLUSH_SECONDS)
         self.scope.cancel()
 
     async def _run(self) -> None:
         with self.scope:
-            seat = MemberLock(self.context.folder, self.context.name)
-            while (held := seat.try_acquire()) is None:
-                await anyio.sleep(LOOK)
+            lock = MemberLock(self.context.folder, self.context.name)
+            while (lock_descriptor := lock.try_acquire()) is None:
+                await anyio.sleep(LOCK_POLL_SECONDS)
             try:
                 while True:
                     try:
-                        await self._take_part()
+                        await self._run_member()
                     except* OSError as group:
-                        # Another program has the address, or the last process of this node a moment longer.
+                        # Another program uses the address, or the node's previous process still holds it.
                         listen, why = self.config.listen, str(group.exceptions[0])
-                        self.log.warning("the fleet's address cannot be had", listen=listen, why=why)
-                    await anyio.sleep(AGAIN)
+                        self.log.warning(
+                            "cannot bind the fleet address; trying again", listen=listen, why=why
+                        )
+                    await anyio.sleep(BIND_RETRY_SECONDS)
             finally:
-                os.close(held)
+                os.close(lock_descriptor)
 
-    async def _take_part(self) -> None:
+    async def _run_member(self) -> None:
         config, name = self.config, self.context.name
-        chance = Random(secrets.randbits(64))  # the number that tells this process apart must not repeat
+        rng = Random(secrets.randbits(64))  # `birth` must differ between processes
         address = config.advertise or config.listen
-        core = Core(name, address, config.fleet, config.seeds, chance, time.monotonic(), zone=config.zone)
-        transport = Transport(core, split_address(config.listen), self.log, self._changed)
+        core = Core(name, address, config.fleet, config.seeds, rng, time.monotonic(), zone=config.zone)
+        transport = Transport(core, split_address(config.listen), self.log, self._log_changes)
         self.core, self.transport = core, transport
         self.log.info("membership", member=name, fleet=config.fleet, listen=config.listen, address=address)
         async with anyio.create_task_group() as group:
-            group.start_soon(self._count)
+            group.start_soon(self._watch_fleet_size)
             await transport.run()
 
-    def _changed(self) -> None:
+    def _log_changes(self) -> None:
         for change in self.core.take_changes():
             self.log.info("member", member=change.name, state=change.state, by=change.witnesses,
                           view=change.view_changed, members=len(self.core.members))  # fmt: skip
 
-    async def _count(self) -> None:
-        told = None
+    async def _watch_fleet_size(self) -> None:
+        reported = None
         while True:
-            nodes = self.count.update(self.core)
-            if nodes != told:
-                self.log.info("nodes of the fleet", nodes=nodes, was=told)
+            nodes = self.fleet_size.update(self.core)
+            if nodes != reported:
+                self.log.info("fleet size changed", nodes=nodes, was=reported)
                 self.context.set_node_count(nodes)
-                told = nodes
-            await anyio.sleep(COUNT)
+                reported = nodes
+            await anyio.sleep(FLEET_SIZE_POLL_SECONDS)
 
-    def members(self, call: AdminRequest) -> AdminResponse:
+    def members(self, request: AdminRequest) -> AdminResponse:
+        """Serves the state of this member and of all others it knows as JSON."""
         core, transport = self.core, self.transport
         if core is None or transport is None:
             return error_response(503, "another process of this node is the member")
         return AdminResponse(200, {
             "fleet": self.config.fleet, "name": core.name, "process": f"{core.start}.{core.birth:08x}",
-            "nodes": self.count.nodes, "joined": core.joined, "alone": core.isolated,
-            "deaf": core.hears_nobody, "late": core.counters.late, "accused": core.counters.accused,
-            "refuted": core.counters.refuted, "garbage": transport.garbage,
-            "view_changes": core.counters.views,
-            "members": [described(core, name) for name in sorted(core.peers)],
+            "nodes": self.fleet_size.nodes, "joined": core.joined, "alone": core.isolated,
+            "deaf": core.hears_nobody, "late": core.counters.pauses, "accused": core.counters.reports_made,
+            "refuted": core.counters.refutations, "garbage": transport.undecodable,
+            "view_changes": core.counters.view_changes,
+            "members": [describe_peer(core, name) for name in sorted(core.peers)],
         })  # fmt: skip
 
 
-def described(core: Core, name: str) -> dict[str, Any]:
-    """How one other member stands, for a person or a script. Times are seconds ago."""
+def describe_peer(core: Core, name: str) -> dict[str, Any]:
+    """State of another member as JSON values. Times are seconds ago."""
     peer = core.peers[name]
     item = peer.item
-    silent = peer.alive and bool(peer.words)
-    state = "not heard of" if silent else State(item.state).name.lower()
-    by = sorted(peer.words) if silent else [each for each in item.by.split(",") if each]
-    since = peer.first if silent else peer.since
-    ago = core.now - peer.heard
+    suspected = peer.alive and bool(peer.reports)
+    state = "not heard of" if suspected else State(item.state).name.lower()
+    by = sorted(peer.reports) if suspected else [witness for witness in item.by.split(",") if witness]
+    since = peer.first_report_at if suspected else peer.state_since
+    heard_ago = core.now - peer.last_heard_at
     return {
-        "name": name, "state": state, "way": peer.way.value, "since": round(core.now - since, 1), "by": by,
-        "heard": round(ago, 1) if ago < 1e9 else None, "zone": item.zone, "address": item.address,
-        "process": f"{item.start}.{item.birth:08x}",
+        "name": name, "state": state, "way": peer.reachability.value,
+        "since": round(core.now - since, 1), "by": by,
+        "heard": round(heard_ago, 1) if heard_ago < 1e9 else None, "zone": item.zone,
+        "address": item.address, "process": f"{item.start}.{item.birth:08x}",
     }  # fmt: skip
--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -1,12 +1,16 @@
-"""Who is there, as one member finds out: messages and checks in, messages, checks and verdicts out. No I/O.
-
-A member pings one other each period, its successor on a ring and one of the shuffled rest in turn. What is
-not answered is asked for in three ways at once: a bare ping, a connection, and by way of others. Only then
-does it say a word (SILENT, REFUSED). A state follows from words of two witnesses: ENDED from two refusals at
-once, LOST from silence that lasts. The member itself refutes by a higher round, who hears it vouches for it.
-
-All times within are lived time: it stands still while this process was paused or short of its core, so that
-nothing runs out for others meanwhile. docs/membership.md weighs the sources: SWIM, Lifeguard, Rapid.
+"""The membership protocol of one member: messages and wake-ups in, actions and view changes out. No I/O.
+
+Each probe interval a member pings one other: alternately its successor on a hash ring and the next of the
+others in shuffled order. A ping that is not acknowledged in time is repeated over three paths at once: a
+ping without piggybacked items, a connection, and pings relayed by other members (SWIM's indirect probes).
+Only when all of them fail does the member report the target as SILENT or REFUSED. A change of state needs
+the reports of two witnesses: ENDED follows at once from two refused connections, LOST from silence that
+outlasts the suspicion timeout. The subject of a report refutes it by raising its round (SWIM's incarnation
+number); a member that still hears the subject vouches for it.
+
+All times inside the core are on an adjusted clock that stands still while this process was paused or starved
+of CPU, so that no timeout of another member expires meanwhile. docs/membership.md compares the approach with
+its sources: SWIM, Lifeguard, Rapid.
 """
 
 from __future__ import annotations
@@ -21,72 +25,82 @@
 from random import Random
 from typing import NamedTuple
 
-from thornladder.membership.wire import MOST_DATAGRAM, VERSION, Item, Kind, Message, State, size
+from thornladder.membership.wire import MAX_DATAGRAM_BYTES, VERSION, Item, Kind, Message, State, encoded_size
 
 NEVER = -math.inf
-WORDS = frozenset({State.SILENT, State.REFUSED, State.VOUCHED})
-OUT = frozenset({State.LOST, State.ENDED, State.LEFT})
+REPORT_STATES = frozenset({State.SILENT, State.REFUSED, State.VOUCHED})
+DEPARTED_STATES = frozenset({State.LOST, State.ENDED, State.LEFT})
 
 
 class Timing(NamedTuple):
-    """Seconds. The limits they serve: a killed member known in 2, a silent one in 10, a pause of 5 borne."""
-
-    probe_interval: float = 0.25  # between pings; every member is pinged by its predecessor each second one
-    ack_timeout: float = (
-        0.2  # for a ping, before other ways are tried: some hundred round trips of one building
-    )
-    probe_timeout: float = 1.0  # for all ways together, before a word is said
-    suspicion_timeout: float = 6.0  # silence after the first word before LOST, with three witnesses
-    two_witness_delay: float = 1.0  # more with only two
-    pause_threshold: float = (
-        0.15  # of a timer: from there on the process itself was paused or short of its core
-    )
-    max_catch_up: float = 1.0  # at most, after that: no word about others
-    isolation_timeout: float = 2.0  # nobody heard for that long: this member is the one that is cut off
-    rejoin_interval: float = 1.0  # between tries to reach who is lost, or a seed that is no member
-    sync_interval: float = 1.0  # between whole views
-    retention: float = 600.0  # an ENDED or LEFT process, so that late words of it raise nobody
-
-
-FANOUT = 3  # members told at once of what is new; in a large fleet two, the rest rides on pings
-LARGE = 32  # members from which on it is two
-HELPERS = 3  # asked to ping for us: SWIM's k
-WITNESSES = 2
-MOST_RIDERS = 24  # items in one message; some 20 fit
-MOST_WORDS = 3  # of silence kept for one member; the wait for LOST is the shortest from there on
-EPSILON = 1e-6  # seconds
-SHOWN = 10.0  # seconds since it was last heard that a member is still shown as one that is
-MOST_LOOKS = 16  # under way at once for a verdict: half a fleet of hundreds may stand accused in one second
-MOST_SCORE = 4  # of Lifeguard's local health: waits grow to thrice theirs
-MOST_PEERS = 20_000  # records held at most, so that a mistaken fleet cannot fill the memory
-
-
-class Way(Enum):
-    """How a member is reached from here, as the last ping of it showed."""
+    """Intervals and timeouts in seconds.
+
+    They are chosen so that a killed member is detected within 2 s and a silent one within 10 s, while a
+    member that pauses for 5 s stays in the view.
+    """
+
+    probe_interval: float = 0.25  # between pings; every second one goes to the ring successor
+    ack_timeout: float = 0.2  # until the other paths are tried; some hundred round trips within a building
+    probe_timeout: float = 1.0  # for all paths together, until the target is reported
+    suspicion_timeout: float = 6.0  # from the first report of silence to LOST, with three witnesses
+    two_witness_delay: float = 1.0  # added to the suspicion timeout with only two witnesses
+    pause_threshold: float = 0.15  # a wake-up later than this means this process was paused or starved of CPU
+    max_catch_up: float = 1.0  # longest time after a pause during which nobody is reported
+    isolation_timeout: float = 2.0  # without any reply, after which this member takes itself to be cut off
+    rejoin_interval: float = 1.0  # between attempts to reach a LOST member or a seed outside the view
+    sync_interval: float = 1.0  # between exchanges of whole views
+    retention: float = 600.0  # an ENDED or LEFT process is kept, so that late messages do not bring it back
+
+
+GOSSIP_FANOUT = 3  # members that receive new items at once
+LARGE_FLEET_MEMBERS = 32  # from this size on the fan-out is 2; piggybacking on pings does the rest
+INDIRECT_PROBES = 3  # members asked to relay a ping (SWIM's k)
+MIN_WITNESSES = 2
+MAX_PIGGYBACK_ITEMS = 24  # per message; about 20 fit into a datagram
+MAX_GOSSIP_ITEMS = 12  # per message of new items
+HEADER_RESERVE_BYTES = 200  # of a datagram, for the fields of the message beside its items
+MAX_SILENCE_REPORTS = 3  # kept per member; more do not shorten the suspicion timeout
+NOTIFY_INTERVAL_SECONDS = 0.2  # between messages to a member about the reports on it
+VOUCH_INTERVAL_SECONDS = 1.0  # between reports that vouch for the same member
+RELAY_TIMEOUT_SECONDS = 2.0  # after which the ack of a relayed ping is not passed on
+EPSILON_SECONDS = 1e-6
+HEARD_RECENTLY_SECONDS = 10.0  # a member heard within this time is still shown as reachable one way
+MAX_VERIFYING_PROBES = 16  # in flight for suspicions; half of a large fleet may be suspected at once
+MAX_HEALTH_SCORE = 4  # of Lifeguard's local health; timeouts grow to three times their length
+MAX_PEERS = 20_000  # bounds the memory that a misconfigured fleet can take
+
+
+class Reachability(Enum):
+    """How this member reaches another, according to the last probe."""
 
     UNKNOWN = "not tried yet"
     DIRECT = "direct"
-    CONNECTION = "by connection alone"
-    THROUGH = "through others alone"
-    DEAF = "one-sided: I hear it, it does not hear me"
-    MUTE = "one-sided: it hears me, I do not hear it"
-    NONE = "by no way"
+    CONNECTION_ONLY = "by connection alone"
+    INDIRECT_ONLY = "through others alone"
+    INBOUND_ONLY = "one-sided: I hear it, it does not hear me"
+    OUTBOUND_ONLY = "one-sided: it hears me, I do not hear it"
+    UNREACHABLE = "by no way"
 
 
 class Send(NamedTuple):
+    """Send `message` as a datagram."""
+
     address: str
     message: Message
 
 
 class ConnectionProbe(NamedTuple):
-    """Connect and ask `message`; `Core.on_checked` is owed what came of it."""
+    """Connect to `address` and send `message` as a request.
+
+    The host passes the reply to `Core.on_message`, any other result to `Core.on_connection_outcome`.
+    """
 
     address: str
     message: Message
 
 
 class Sync(NamedTuple):
-    """Exchange whole views over a connection."""
+    """Exchange whole views with `address` over a connection (anti-entropy)."""
 
     address: str
 
@@ -95,14 +109,14 @@
 
 
 class ConnectionOutcome(Enum):
-    """What a connection showed."""
+    """Result of a connection probe that got no reply."""
 
-    REFUSED = "refused"  # by the kernel: no process is there
-    NO_ANSWER = "nothing"  # no answer of any kind in time
+    REFUSED = "refused"  # by the kernel: no process listens there
+    NO_ANSWER = "nothing"  # nothing arrived in time
 
 
 class Change(NamedTuple):
-    """For the log: `view_changed` tells whether the set of members changed."""
+    """A change to be logged. `view_changed` tells whether the set of live members changed."""
 
     name: str
     state: str
@@ -112,20 +126,20 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What this member holds of another."""
+    """What this member knows of another. Times are on the adjusted clock."""
 
     item: Item
-    since: float
-    heard: float = NEVER  # a datagram came straight from it
-    evidence: float = NEVER  # that it lives, of any kind
-    way: Way = Way.UNKNOWN
-    words: dict[str, State] = field(default_factory=dict)  # by witness
-    first: float = NEVER  # of those words
-    stamps: dict[str, int] = field(default_factory=dict)
-    vouched: float = NEVER
-    told: float = NEVER  # what stands against it, to itself
-    vain: float = NEVER  # a look at it failed on all ways
-    lost_by: str = ""  # the witnesses by whom others hold this process to be lost, until seen here
+    state_since: float
+    last_heard_at: float = NEVER  # last datagram received directly from it
+    last_evidence_at: float = NEVER  # last evidence of any kind that it is alive
+    reachability: Reachability = Reachability.UNKNOWN
+    reports: dict[str, State] = field(default_factory=dict)  # by witness
+    first_report_at: float = NEVER  # of `reports`
+    last_stamps: dict[str, int] = field(default_factory=dict)  # of the newest report, by witness
+    last_vouched_at: float = NEVER
+    last_notified_at: float = NEVER  # last time it was sent the reports about itself
+    probe_failed_at: float = NEVER  # last probe that failed on all paths
+    lost_reported_by: str = ""  # witnesses by which others hold it LOST, until this member has checked
 
     @property
     def alive(self) -> bool:
@@ -134,683 +148,754 @@
 
 @dataclass(slots=True)
 class Probe:
+    """A ping in flight, over all of its paths."""
+
     name: str
     address: str
     process: tuple[int, int]
-    began: float
-    ends: float
-    tries: float  # when other ways are taken; inf once they are
-    about: float | None = None  # by way of others: when it last heard us
+    started_at: float
+    deadline: float
+    fallback_at: float  # when the other paths are tried; inf once they are
+    # Set once another path reached the target: seconds since it heard this member, negative for never.
+    target_heard_us_ago: float | None = None
 
 
-class Errand(NamedTuple):
-    """A ping made for another member."""
+class RelayedPing(NamedTuple):
+    """A ping sent on behalf of another member (SWIM's ping-req)."""
 
-    asker: str
-    address: str
-    number: int
-    until: float
+    requester: str
+    requester_address: str
+    requester_number: int
+    expires_at: float
 
 
 @dataclass(slots=True)
 class Counters:
-    dropped: int = 0  # messages of another fleet or from too many
-    accused: int = 0  # words that this member said
-    refuted: int = 0
-    late: int = 0  # times that it was paused or short of its core
-    views: int = 0  # changes of its view
+    """Totals since the start of the process."""
+
+    dropped: int = 0  # messages of another fleet, or beyond MAX_PEERS
+    reports_made: int = 0  # made by this member about others
+    refutations: int = 0
+    pauses: int = 0  # of this process, including starvation of CPU
+    view_changes: int = 0
 
 
 class Outbox:
-    """What a core wants done, and what changed for it, until its host takes them."""
+    """Pending actions and changes of a core, until its host takes them."""
 
     def __init__(self) -> None:
         self.actions: list[Action] = []
         self.changes: list[Change] = []
 
     def take_actions(self) -> list[Action]:
-        acts, self.actions = self.actions, []
-        return acts
+        """Returns and clears the pending actions."""
+        actions, self.actions = self.actions, []
+        return actions
 
     def take_changes(self) -> list[Change]:
+        """Returns and clears the changes since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
 
 class Core(Outbox):
+    """The protocol state of one member.
+
+    A member's process is identified by `start`, which counts the processes of a name, and by `birth`, a
+    random number. `round` is its incarnation number in SWIM's sense.
+    """
+
     def __init__(
-        self, name: str, address: str, fleet: str, seeds: Sequence[str], chance: Random, now: float,
+        self, name: str, address: str, fleet: str, seeds: Sequence[str], rng: Random, now: float,
         zone: str = "", timing: Timing | None = None, facts: dict[str, str] | None = None,
     ) -> None:  # fmt: skip
-        """`now`: seconds of any steady clock. `address`: where others reach this member."""
+        """`now`: seconds of any monotonic clock. `address`: host:port where others reach this member."""
         self.name, self.address, self.fleet, self.zone = name, address, fleet, zone
         self.seeds = [seed for seed in seeds if seed != address]
-        self.chance, self.timing = chance, timing or Timing()
+        self.rng, self.timing = rng, timing or Timing()
         self.facts = dict(facts or {})
-        self.start, self.birth, self.round = 1, chance.getrandbits(32), 0
-        self.offset = 0.0  # by which lived time is behind the clock
+        self.start, self.birth, self.round = 1, rng.getrandbits(32), 0
+        self.clock_offset = 0.0  # seconds by which the adjusted clock is behind the caller's
         self.now = now
         self.peers: dict[str, Peer] = {}
         self.probes: dict[int, Probe] = {}
-        self.errands: dict[int, Errand] = {}
-        self.queue: dict[tuple[str, str], list] = {}  # [item, sends left] by member and witness
-        self.urgent: list[Item] = []
+        self.relayed_pings: dict[int, RelayedPing] = {}
+        self.gossip_queue: dict[tuple[str, str], list] = {}  # [item, sends left] by subject and witness
+        self.fresh_items: list[Item] = []
         super().__init__()
         self.counters = Counters()
-        self.number = self.stamp = self.score = 0
-        self.next_tick = now + self.timing.probe_interval * chance.random()
-        self.next_seek = now
-        self.quiet_until = now  # no words of this member before
-        self.heard_any = self.last_reply_at = now
-        self.back = now  # since when it is not alone
-        self.changed = now
-        self.synced = NEVER
-        self.joined = False  # a whole view of another member was had
+        self.last_number = self.last_stamp = self.health_score = 0
+        self.next_probe_at = now + self.timing.probe_interval * rng.random()
+        self.next_rejoin_at = now
+        self.no_reports_until = now  # this member reports nobody before
+        self.last_received_at = self.last_reply_at = now
+        self.connected_since = now  # since when replies arrive without isolation
+        self.view_changed_at = now
+        self.last_sync_at = NEVER
+        self.joined = False  # whether it has received another member's whole view
         self.left = False
-        self.order: list[str] = []  # the shuffled rest, still to be pinged
-        self.turn = 0
-        self.ring: list[tuple[int, str]] = []
-        self.others: list[str] | None = None  # of the view, in the order of the ring; None: to be made anew
-        self.accused: set[str] = set()  # alive, with words against them
-        self.digest = 0  # of the view: differs where views do
-        self._count_in(self.own_item)
+        self.probe_order: list[str] = []  # members still to be pinged in this shuffled pass
+        self.probe_turn = 0
+        self.ring: list[tuple[int, str]] = []  # (hash, name) of the live members, sorted
+        self.cached_other_members: list[str] | None = None  # in ring order; None: out of date
+        self.suspects: set[str] = set()  # alive, with reports against them
+        self.digest = 0  # of the view, for comparing views with other members
+        self._add_to_view(self.own_item)
 
-    # What it is told.
+    # Inputs.
 
     @property
     def next_wake_at(self) -> float:
-        """When `wake` is owed, on the caller's clock."""
-        stages = (min(probe.tries, probe.ends) for probe in self.probes.values())
-        return min(self.next_tick, *stages, math.inf) + self.offset
+        """When `wake` is to be called, on the caller's clock."""
+        stages = (min(probe.fallback_at, probe.deadline) for probe in self.probes.values())
+        return min(self.next_probe_at, *stages, math.inf) + self.clock_offset
 
     def wake(self, now: float) -> None:
-        self._clock(now)
-        self.now += EPSILON  # lived time is a sum: what is due must not seem a hair too early, for ever
+        """Handles expired timeouts and starts the next probe. Due at `next_wake_at`."""
+        self._advance_clock(now)
+        # The adjusted clock is a rounded sum: without this a due timer could stay just short of due for ever.
+        self.now += EPSILON_SECONDS
         for number, probe in list(self.probes.items()):
-            if self.now >= probe.ends:
+            if self.now >= probe.deadline:
                 del self.probes[number]
-                self._failed(probe)
-            elif self.now >= probe.tries:
-                probe.tries = math.inf
-                self._other_ways(number, probe)
-        if self.now >= self.next_tick:
-            self.next_tick = self.now + self.timing.probe_interval * (0.9 + 0.2 * self.chance.random())
-            self._tick()
-        self._flush()
+                self._on_probe_failed(probe)
+            elif self.now >= probe.fallback_at:
+                probe.fallback_at = math.inf
+                self._probe_by_other_paths(number, probe)
+        if self.now >= self.next_probe_at:
+            self.next_probe_at = self.now + self.timing.probe_interval * (0.9 + 0.2 * self.rng.random())
+            self._run_probe_round()
+        self._flush_gossip()
 
     def on_message(self, now: float, source: str, message: Message, by_connection: bool = False) -> None:
-        """`source`: where it came from, host:port; an answer goes there."""
-        self._clock(now)
-        if message.fleet != self.fleet or len(self.peers) >= MOST_PEERS:
+        """`source`: the host:port that the message came from and that replies go to."""
+        self._advance_clock(now)
+        if message.fleet != self.fleet or len(self.peers) >= MAX_PEERS:
             self.counters.dropped += 1
             return
         for item in message.items:
-            self._take(item, message.kind == Kind.WORD)
+            self._apply_item(item, message.kind == Kind.REPORT)
         if message.name != self.name:
-            self._heard(message, source, by_connection)
+            self._on_sender(message, source, by_connection)
         if message.kind == Kind.PING:
             if not by_connection:
-                self._answer(source, message)
+                self._on_ping(source, message)
         elif message.kind == Kind.ACK:
-            self._acked(message, by_connection)
-        elif message.kind == Kind.ASK:
-            self._asked(message, source)
-        elif message.kind == Kind.TOLD:
-            self._told(message)
+            self._on_ack(message, by_connection)
+        elif message.kind == Kind.PING_REQUEST:
+            self._on_ping_request(message, source)
+        elif message.kind == Kind.INDIRECT_ACK:
+            self._on_indirect_ack(message)
         elif message.kind == Kind.VIEW:
-            self.joined, self.synced = True, self.now
-        self._flush()
+            self.joined, self.last_sync_at = True, self.now
+        self._flush_gossip()
 
-    def on_connection_outcome(self, now: float, number: int, verdict: ConnectionOutcome) -> None:
-        """What became of a `Check`, other than the answer."""
-        self._clock(now)
+    def on_connection_outcome(self, now: float, number: int, outcome: ConnectionOutcome) -> None:
+        """Takes the result of a `ConnectionProbe` that got no reply."""
+        self._advance_clock(now)
         probe = self.probes.get(number)
-        if probe is not None and verdict is ConnectionOutcome.REFUSED:
+        if probe is not None and outcome is ConnectionOutcome.REFUSED:
             del self.probes[number]
-            self._say(probe, State.REFUSED)
-        self._flush()
+            self._report(probe, State.REFUSED)
+        self._flush_gossip()
 
     def reply_to(self, message: Message) -> Message:
-        """To one that came by a connection: the view to a view, else an ack."""
+        """The reply to a message received over a connection: a whole view to a whole view, else an ack."""
         if message.kind == Kind.VIEW:
             return self.view_message()
         return self._message(Kind.ACK, number=message.number, target=message.name)
 
     def view_message(self) -> Message:
+        """All items that this member holds, as one message."""
         return self._message(Kind.VIEW, items=[self.own_item, *(peer.item for peer in self.peers.values())])
 
     def bootstrap(self, items: Sequence[Item]) -> None:
-        """Holds these from the start on, as one that joined long ago."""
+        """Starts with `items` as the view, as if this member had joined long ago."""
         for item in items:
             if item.name != self.name:
-                self._record(item)
+                self._merge_item(item)
         self.joined = True
         self.changes.clear()
 
     def leave(self, now: float) -> None:
-        """Says so; the caller sends what stands in `acts` and is done."""
-        self._clock(now)
+        """Announces that this member leaves; the caller sends the pending `actions` before it closes."""
+        self._advance_clock(now)
         self.left = True
-        gone = self.own_item
-        alive = self._alive()
-        for name in self.chance.sample(alive, min(len(alive), 2 * FANOUT + 2)):
-            self._send(self.peers[name].item.address, Kind.NEWS, items=[gone])
+        departure = self.own_item
+        alive = self._other_members()
+        for name in self.rng.sample(alive, min(len(alive), 2 * GOSSIP_FANOUT + 2)):
+            self._send(self.peers[name].item.address, Kind.GOSSIP, items=[departure])
 
-    # What it holds.
+    # State.
 
     @property
     def own_item(self) -> Item:
+        """This member's own state, as it is gossiped."""
         state = State.LEFT if self.left else State.ALIVE
         return Item(self.name, self.start, self.birth, self.round, state, self.address, self.zone,
                     facts=self.facts)  # fmt: skip
 
     @property
     def members(self) -> list[str]:
-        """Of the view, this one among them."""
-        return sorted([self.name, *self._alive()])
+        """Sorted names of the live members, including this one."""
+        return sorted([self.name, *self._other_members()])
 
     @property
     def isolated(self) -> bool:
-        """Nobody answers: it may well be this member that is cut off, so it has no word on others."""
+        """Whether nobody replies: then this member itself may be cut off, and it reports nobody."""
         return len(self.ring) > 1 and self.now - self.last_reply_at > self.timing.isolation_timeout
 
     @property
     def hears_nobody(self) -> bool:
-        """Nor is anybody heard."""
-        return self.isolated and self.now - self.heard_any > self.timing.isolation_timeout
+        """Whether it is isolated and receives nothing either."""
+        return self.isolated and self.now - self.last_received_at > self.timing.isolation_timeout
 
     def set_facts(self, facts: dict[str, str]) -> None:
-        """New facts of this member are told like a refutation: by a higher round."""
+        """Replaces the facts that this member announces; spread like a refutation, by a higher round."""
         if facts != self.facts:
-            self._count_out(self.own_item)
+            self._remove_from_view(self.own_item)
             self.facts = dict(facts)
             self.round += 1
-            self._count_in(self.own_item)
-            self._announce(self.own_item)
+            self._add_to_view(self.own_item)
+            self._enqueue_gossip(self.own_item)
 
-    # Time.
+    # Timers.
 
-    def _clock(self, now: float) -> None:
+    def _advance_clock(self, now: float) -> None:
         late = now - self.next_wake_at
         if late > self.timing.pause_threshold:
-            # Guards against accusing all others after a pause, and against waits that ran out in it.
-            self.offset += late
-            self.counters.late += 1
-            # For as long again: what came meanwhile is read at once. Guards against a fleet on a slow disk,
-            # all of it late for a moment each second, that never misses anybody.
-            self.quiet_until = now - self.offset + min(2.0 * late, self.timing.max_catch_up)
-            self.score = min(self.score + 1, MOST_SCORE)
-        self.now = max(self.now, now - self.offset)
-
-    def _tick(self) -> None:
-        target = self._next()
+            # The timeouts that expired during the pause must not make this member report all others.
+            self.clock_offset += late
+            self.counters.pauses += 1
+            # Twice the pause is enough to read what arrived meanwhile. Bounded, since a fleet on a slow disk,
+            # where every process is late for a moment each second, would otherwise never detect a failure.
+            self.no_reports_until = now - self.clock_offset + min(2.0 * late, self.timing.max_catch_up)
+            self.health_score = min(self.health_score + 1, MAX_HEALTH_SCORE)
+        self.now = max(self.now, now - self.clock_offset)
+
+    def _run_probe_round(self) -> None:
+        target = self._next_target()
         if target is not None:
-            self._probe(target)
-        if self.now >= self.next_seek:
-            self.next_seek = self.now + self.timing.rejoin_interval
-            self._seek()
-        self._judge()
-        for number in [number for number, errand in self.errands.items() if self.now > errand.until]:
-            del self.errands[number]
-        old = self.now - self.timing.retention
-        for name in [name for name, peer in self.peers.items() if peer.since < old and not peer.alive]:
+            self._start_probe(target)
+        if self.now >= self.next_rejoin_at:
+            self.next_rejoin_at = self.now + self.timing.rejoin_interval
+            self._try_rejoin()
+        self._expire_suspicions()
+        for number in [
+            number for number, relayed in self.relayed_pings.items() if self.now > relayed.expires_at
+        ]:
+            del self.relayed_pings[number]
+        cutoff = self.now - self.timing.retention
+        for name in [
+            name for name, peer in self.peers.items() if peer.state_since < cutoff and not peer.alive
+        ]:
             if self.peers[name].item.state != State.LOST:
                 del self.peers[name]
 
-    def _next(self) -> str | None:
-        """Whom to ping: the successor on the ring, and the shuffled rest, in turn."""
-        self.turn += 1
+    def _next_target(self) -> str | None:
+        """The member to ping: alternately the ring successor and the next in shuffled order."""
+        self.probe_turn += 1
         if len(self.ring) < 2:
             return None
-        if self.turn % 2:
-            mine = bisect.bisect_left(self.ring, (zlib.crc32(self.name.encode()), self.name))
-            return self.ring[(mine + 1) % len(self.ring)][1]
+        if self.probe_turn % 2:
+            own_place = bisect.bisect_left(self.ring, (zlib.crc32(self.name.encode()), self.name))
+            return self.ring[(own_place + 1) % len(self.ring)][1]
         while True:
-            if not self.order:
-                self.order = list(self._alive())
-                self.chance.shuffle(self.order)
-            name = self.order.pop()
+            if not self.probe_order:
+                self.probe_order = list(self._other_members())
+                self.rng.shuffle(self.probe_order)
+            name = self.probe_order.pop()
             if name in self.peers and self.peers[name].alive:
                 return name
 
-    def _patience(self) -> float:
-        return 1.0 + 0.5 * self.score
+    def _timeout_factor(self) -> float:
+        """Lifeguard's local health multiplier."""
+        return 1.0 + 0.5 * self.health_score
 
-    def _probe(self, name: str) -> None:
+    def _start_probe(self, name: str) -> None:
         peer = self.peers[name]
         if any(probe.name == name for probe in self.probes.values()):
             return
-        self.number += 1
-        patience = self._patience()
-        self.probes[self.number] = Probe(
+        self.last_number += 1
+        timeout_factor = self._timeout_factor()
+        self.probes[self.last_number] = Probe(
             name, peer.item.address, peer.item.process, self.now,
-            self.now + self.timing.probe_timeout * patience, self.now + self.timing.ack_timeout * patience,
+            self.now + self.timing.probe_timeout * timeout_factor,
+            self.now + self.timing.ack_timeout * timeout_factor,
         )  # fmt: skip
-        self._send(peer.item.address, Kind.PING, number=self.number, target=name, items=self._riders())
+        self._send(
+            peer.item.address, Kind.PING, number=self.last_number, target=name, items=self._piggyback_items()
+        )
 
-    def _other_ways(self, number: int, probe: Probe) -> None:
-        # Bare: guards against a link that drops large datagrams alone.
+    def _probe_by_other_paths(self, number: int, probe: Probe) -> None:
+        # Without piggybacked items, in case the link drops large datagrams only.
         self._send(probe.address, Kind.PING, number=number, target=probe.name)
         self.actions.append(
             ConnectionProbe(probe.address, self._message(Kind.PING, number=number, target=probe.name))
         )
-        helpers = [name for name in self._alive() if name != probe.name and not self.peers[name].words]
-        for name in self.chance.sample(helpers, min(HELPERS, len(helpers))):
-            self._send(self.peers[name].item.address, Kind.ASK, number=number, target=probe.name)
+        helpers = [
+            name for name in self._other_members() if name != probe.name and not self.peers[name].reports
+        ]
+        for name in self.rng.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
+            self._send(self.peers[name].item.address, Kind.PING_REQUEST, number=number, target=probe.name)
 
-    def _failed(self, probe: Probe) -> None:
+    def _on_probe_failed(self, probe: Probe) -> None:
         peer = self.peers.get(probe.name)
         if peer is None or peer.item.process != probe.process or not peer.alive:
             return
-        if probe.about is not None:
-            return  # others reached it
-        deaf = peer.heard >= probe.began or (peer.way is Way.DEAF and self.now - peer.heard < SHOWN)
-        peer.way = Way.DEAF if deaf else Way.NONE
-        if peer.evidence < probe.began:
-            # Guards against a verdict, once this member is reached again, by what it saw while cut off.
-            sure = self._sure() and probe.began >= self.back
-            peer.vain = self.now if sure else NEVER
-            if peer.lost_by and sure:
-                self._replace(peer, State.LOST, peer.lost_by)
+        if probe.target_heard_us_ago is not None:
+            return  # reached indirectly or by connection
+        hears_target = peer.last_heard_at >= probe.started_at or (
+            peer.reachability is Reachability.INBOUND_ONLY
+            and self.now - peer.last_heard_at < HEARD_RECENTLY_SECONDS
+        )
+        peer.reachability = Reachability.INBOUND_ONLY if hears_target else Reachability.UNREACHABLE
+        if peer.last_evidence_at < probe.started_at:
+            # A probe that began while this member was cut off says nothing about the target.
+            conclusive = self._can_judge_others() and probe.started_at >= self.connected_since
+            peer.probe_failed_at = self.now if conclusive else NEVER
+            if peer.lost_reported_by and conclusive:
+                self._set_state(peer, State.LOST, peer.lost_reported_by)
             else:
-                self._say(probe, State.SILENT)
+                self._report(probe, State.SILENT)
 
-    def _answered(self) -> None:
+    def _note_reply(self) -> None:
         if self.isolated:
-            self.back = self.now
+            self.connected_since = self.now
         self.last_reply_at = self.now
 
-    def _sure(self) -> bool:
-        """Whether what this member does not hear may well be the others' silence, not its own trouble."""
-        return self.now >= self.quiet_until and not self.isolated
+    def _can_judge_others(self) -> bool:
+        """Whether a missing reply can be put down to the other member, not to trouble on this side."""
+        return self.now >= self.no_reports_until and not self.isolated
 
-    def _say(self, probe: Probe, state: State) -> None:
+    def _report(self, probe: Probe, state: State) -> None:
+        """Reports the target of a failed probe as SILENT or REFUSED, unless this member cannot judge."""
         peer = self.peers.get(probe.name)
         if peer is None or peer.item.process != probe.process or not peer.alive:
             return
-        if state is State.SILENT and not self._sure():
+        if state is State.SILENT and not self._can_judge_others():
             return
-        if state is State.SILENT and self._enough(peer, self.name):
+        if state is State.SILENT and self._has_enough_reports(peer, self.name):
             return
-        if peer.words.get(self.name) == state:
-            if len(peer.words) < WITNESSES:
-                self._ask_others(peer, self._said(peer, self.name, state))
+        if peer.reports.get(self.name) == state:
+            if len(peer.reports) < MIN_WITNESSES:
+                self._request_confirmation(peer, self._report_item(peer, self.name, state))
             return
-        self.counters.accused += 1
-        self._word(self._stamped(peer.item, state))
+        self.counters.reports_made += 1
+        self._on_report(self._new_report(peer.item, state))
 
-    def _stamped(self, item: Item, state: State) -> Item:
-        self.stamp += 1
-        return Item(item.name, item.start, item.birth, item.round, state, by=self.name, stamp=self.stamp)
+    def _new_report(self, item: Item, state: State) -> Item:
+        self.last_stamp += 1
+        return Item(item.name, item.start, item.birth, item.round, state, by=self.name, stamp=self.last_stamp)
 
-    def _judge(self) -> None:
-        """LOST: silence lasted, by two witnesses, and one of them has just looked again in vain.
+    def _expire_suspicions(self) -> None:
+        """Declares LOST whom two witnesses report as silent for long enough and a last probe failed to reach.
 
-        Guards against a removal by words that were refuted while the refutation was under way.
+        The last probe keeps a member whose refutation of the reports is still on its way.
         """
-        if not self._sure():
+        if not self._can_judge_others():
             return
-        for name in sorted(self.accused):
+        for name in sorted(self.suspects):
             peer = self.peers.get(name)
-            if peer is None or not peer.words or not peer.alive:
-                self.accused.discard(name)
+            if peer is None or not peer.reports or not peer.alive:
+                self.suspects.discard(name)
                 continue
-            if len(peer.words) < WITNESSES:
+            if len(peer.reports) < MIN_WITNESSES:
                 continue
             wait = self.timing.suspicion_timeout + (
-                self.timing.two_witness_delay if len(peer.words) == WITNESSES else 0.0
+                self.timing.two_witness_delay if len(peer.reports) == MIN_WITNESSES else 0.0
+            )
+            if self.name not in peer.reports:
+                wait += 2.0 * self.timing.probe_timeout  # the witnesses themselves may have failed
+            expires_at = max(peer.first_report_at, peer.last_evidence_at) + wait
+            verified = (
+                peer.probe_failed_at
+                >= max(expires_at, self.now - self.timing.probe_timeout) - self.timing.probe_timeout
             )
-            if self.name not in peer.words:
-                wait += 2.0 * self.timing.probe_timeout  # the witnesses themselves may be gone
-            over = max(peer.first, peer.evidence) + wait
-            looked = peer.vain >= max(over, self.now - self.timing.probe_timeout) - self.timing.probe_timeout
-            if looked and self.now >= over:
-                self._replace(peer, State.LOST)
-            near = peer.lost_by or self.now >= over - self.timing.probe_timeout
-            if near and not looked and len(self.probes) < MOST_LOOKS:
-                self._look(name)
-
-    def _replace(self, peer: Peer, state: State, witnesses: str = "") -> None:
-        witnesses = witnesses or ",".join(sorted(peer.words)[:4])
+            if verified and self.now >= expires_at:
+                self._set_state(peer, State.LOST)
+            near_expiry = peer.lost_reported_by or self.now >= expires_at - self.timing.probe_timeout
+            if near_expiry and not verified and len(self.probes) < MAX_VERIFYING_PROBES:
+                self._verify(name)
+
+    def _set_state(self, peer: Peer, state: State, witnesses: str = "") -> None:
+        witnesses = witnesses or ",".join(sorted(peer.reports)[:4])
         old = peer.item
-        self._record(Item(old.name, old.start, old.birth, old.round, state, old.address, old.zone, witnesses))
+        self._merge_item(
+            Item(old.name, old.start, old.birth, old.round, state, old.address, old.zone, witnesses)
+        )
 
-    def _seek(self) -> None:
-        """One of those lost, or a seed that is no member: so that any cut heals without a person."""
+    def _try_rejoin(self) -> None:
+        """Pings a LOST member or a seed outside the view, so that a partition heals without an operator."""
         lost = [peer for peer in self.peers.values() if peer.item.state == State.LOST]
         known = {peer.item.address for peer in self.peers.values() if peer.alive}
         seeds = [seed for seed in self.seeds if seed not in known]
         if not self.joined or not known:
             for seed in seeds:
                 self._send(seed, Kind.PING, items=[self.own_item])
-        elif seeds and self.chance.random() < 0.5:
-            self._send(self.chance.choice(seeds), Kind.PING, items=[self.own_item])
+        elif seeds and self.rng.random() < 0.5:
+            self._send(self.rng.choice(seeds), Kind.PING, items=[self.own_item])
         if lost:
-            peer = self.chance.choice(lost)
+            peer = self.rng.choice(lost)
             self._send(peer.item.address, Kind.PING, target=peer.item.name, items=[peer.item, self.own_item])
 
-    # What others say.
+    # Messages of other members.
 
-    def _heard(self, message: Message, source: str, by_connection: bool) -> None:
+    def _on_sender(self, message: Message, source: str, by_connection: bool) -> None:
+        """Takes what any message says about its sender: that it is alive, its process, its view's digest."""
         peer = self.peers.get(message.name)
         process = (message.start, message.birth)
         if peer is None or process > peer.item.process:
             if self.joined or message.kind == Kind.ACK:
-                self._sync_soon(message.address or source)
+                self._request_sync(message.address or source)
             return
         if process < peer.item.process:
-            self._tell(peer, source)
+            self._notify_subject(peer, source)
             return
-        self.heard_any = self.now
+        self.last_received_at = self.now
         if not by_connection:
-            peer.heard = self.now
-            if peer.way is Way.NONE:
-                peer.way = Way.DEAF
+            peer.last_heard_at = self.now
+            if peer.reachability is Reachability.UNREACHABLE:
+                peer.reachability = Reachability.INBOUND_ONLY
         if not peer.alive:
-            self._tell(peer, source)
-            self._sync_soon(peer.item.address)
+            self._notify_subject(peer, source)
+            self._request_sync(peer.item.address)
             return
-        self._lives(peer)
+        self._note_alive(peer)
         if message.round > peer.item.round:
-            peer.words = {}  # it has refuted them
+            peer.reports = {}  # refuted by the higher round
         if message.digest != self.digest and message.kind != Kind.VIEW:
-            settled = self.now - self.changed > self.timing.sync_interval
-            due = self.now - self.synced > 10.0 * max(1.0, len(self.peers) / 100.0)
-            if settled or due:
-                # One that has just come knows a few: it asks one of them, not the seed that answered first.
-                few = [] if self.joined else [name for name in self._alive() if name != message.name]
-                known = self.peers[self.chance.choice(few)] if few else peer
-                self._sync_soon(known.item.address)
-
-    def _lives(self, peer: Peer) -> None:
-        peer.evidence = self.now
-        peer.lost_by = ""
-        if peer.words:
-            self._vouch(peer)
-            peer.words.pop(self.name, None)
-
-    def _sync_soon(self, address: str) -> None:
-        if self.now - self.synced > self.timing.sync_interval and address:
-            self.synced = self.now
+            settled = self.now - self.view_changed_at > self.timing.sync_interval
+            overdue = self.now - self.last_sync_at > 10.0 * max(1.0, len(self.peers) / 100.0)
+            if settled or overdue:
+                # A joining member asks one of the few members it knows, to spare the seed that replied first.
+                others = (
+                    [] if self.joined else [name for name in self._other_members() if name != message.name]
+                )
+                partner = self.peers[self.rng.choice(others)] if others else peer
+                self._request_sync(partner.item.address)
+
+    def _note_alive(self, peer: Peer) -> None:
+        peer.last_evidence_at = self.now
+        peer.lost_reported_by = ""
+        if peer.reports:
+            self._vouch_for(peer)
+            peer.reports.pop(self.name, None)
+
+    def _request_sync(self, address: str) -> None:
+        if self.now - self.last_sync_at > self.timing.sync_interval and address:
+            self.last_sync_at = self.now
             self.actions.append(Sync(address))
 
-    def _tell(self, peer: Peer, address: str, state: Item | None = None) -> None:
-        """What stands against a process, to itself: it refutes that, or is an old one and learns of it."""
-        if self.now - peer.told > 0.2:
-            peer.told = self.now
-            words = [self._said(peer, by, state) for by, state in peer.words.items()]
-            self._send(address, Kind.NEWS, items=[state or peer.item, *words[:3]])
+    def _notify_subject(self, peer: Peer, address: str, state: Item | None = None) -> None:
+        """Sends a process the reports about itself, to be refuted, or the newer process that replaced it."""
+        if self.now - peer.last_notified_at > NOTIFY_INTERVAL_SECONDS:
+            peer.last_notified_at = self.now
+            reports = [self._report_item(peer, by, state) for by, state in peer.reports.items()]
+            self._send(address, Kind.GOSSIP, items=[state or peer.item, *reports[:3]])
 
-    def _vouch(self, peer: Peer) -> None:
-        if self.now - peer.vouched > 1.0 and State.SILENT in peer.words.values():
-            peer.vouched = self.now
-            self._word(self._stamped(peer.item, State.VOUCHED))
+    def _vouch_for(self, peer: Peer) -> None:
+        if self.now - peer.last_vouched_at > VOUCH_INTERVAL_SECONDS and State.SILENT in peer.reports.values():
+            peer.last_vouched_at = self.now
+            self._on_report(self._new_report(peer.item, State.VOUCHED))
 
-    def _answer(self, source: str, message: Message) -> None:
-        about = -1.0
+    def _on_ping(self, source: str, message: Message) -> None:
+        requester_heard_ago = -1.0
         if message.target and message.target != self.name:
             self._send(source, Kind.ACK, number=message.number, target=message.name)
             return
-        asker = self.peers.get(message.behalf) if message.behalf else None
-        if asker is not None:
-            about = -1.0 if asker.heard == NEVER else self.now - asker.heard
-            self._send(asker.item.address, Kind.ECHO, target=asker.item.name)
+        requester = self.peers.get(message.behalf) if message.behalf else None
+        if requester is not None:
+            requester_heard_ago = (
+                -1.0 if requester.last_heard_at == NEVER else self.now - requester.last_heard_at
+            )
+            self._send(requester.item.address, Kind.ECHO, target=requester.item.name)
         peer = self.peers.get(message.name)
-        items = self._riders() if message.items else []
+        items = self._piggyback_items() if message.items else []
         if peer is None or not peer.alive or not message.target:
-            # To one that seeks. Others too: seeds alone cannot give whole views to hundreds in a minute.
-            alive = self._alive()
-            some = self.chance.sample(alive, min(len(alive), HELPERS))
-            items = [self.own_item, *(self.peers[name].item for name in some)]
-        self._send(source, Kind.ACK, number=message.number, target=message.name, about=about, items=items)
-
-    def _acked(self, message: Message, by_connection: bool) -> None:
-        errand = self.errands.pop(message.number, None)
-        if errand is not None:
-            self._send(errand.address, Kind.TOLD, number=errand.number, target=message.name,
-                       about=message.about)  # fmt: skip
+            # The sender is joining or rejoining. It also gets other members' addresses, since the seeds alone
+            # cannot send whole views to hundreds of members within a minute.
+            alive = self._other_members()
+            sample = self.rng.sample(alive, min(len(alive), INDIRECT_PROBES))
+            items = [self.own_item, *(self.peers[name].item for name in sample)]
+        self._send(source, Kind.ACK, number=message.number, target=message.name,
+                   about=requester_heard_ago, items=items)  # fmt: skip
+
+    def _on_ack(self, message: Message, by_connection: bool) -> None:
+        relayed = self.relayed_pings.pop(message.number, None)
+        if relayed is not None:
+            self._send(relayed.requester_address, Kind.INDIRECT_ACK, number=relayed.requester_number,
+                       target=message.name, about=message.about)  # fmt: skip
         probe = self.probes.get(message.number)
         if probe is None:
             return
         if message.name != probe.name:
-            # Guards against an address that another member took over: its old process cannot be there.
+            # Another member has taken over the address, so the target's process cannot be there any more.
             del self.probes[message.number]
-            self._say(probe, State.REFUSED)
+            self._report(probe, State.REFUSED)
             return
         peer = self.peers.get(probe.name)
         if peer is None or (message.start, message.birth) != probe.process:
             return
         if by_connection:
-            self._answered()
-            if probe.about is None:
-                peer.way = Way.CONNECTION
-                probe.about = 0.0
+            self._note_reply()
+            if probe.target_heard_us_ago is None:
+                peer.reachability = Reachability.CONNECTION_ONLY
+                probe.target_heard_us_ago = 0.0
             return
         del self.probes[message.number]
-        self._answered()
-        peer.way = Way.DIRECT
-        self.score = max(self.score - 1, 0)
+        self._note_reply()
+        peer.reachability = Reachability.DIRECT
+        self.health_score = max(self.health_score - 1, 0)
 
-    def _asked(self, message: Message, source: str) -> None:
+    def _on_ping_request(self, message: Message, source: str) -> None:
         peer = self.peers.get(message.target)
         if peer is None or not peer.alive:
             return
-        self.number += 1
-        self.errands[self.number] = Errand(message.name, source, message.number, self.now + 2.0)
-        self._send(peer.item.address, Kind.PING, number=self.number, target=message.target,
+        self.last_number += 1
+        self.relayed_pings[self.last_number] = RelayedPing(
+            message.name, source, message.number, self.now + RELAY_TIMEOUT_SECONDS
+        )
+        self._send(peer.item.address, Kind.PING, number=self.last_number, target=message.target,
                    behalf=message.name)  # fmt: skip
 
-    def _told(self, message: Message) -> None:
+    def _on_indirect_ack(self, message: Message) -> None:
         probe = self.probes.get(message.number)
         if probe is None or message.target != probe.name:
             return
         peer = self.peers[probe.name]
-        self._lives(peer)
-        self._answered()
-        probe.about = message.about
-        hears_me = 0.0 <= message.about <= self.now - probe.began + 0.5
-        heard = peer.heard >= probe.began
-        if heard and not hears_me:
-            peer.way = Way.DEAF
-        elif hears_me and not heard:
-            peer.way = Way.MUTE
-        elif not hears_me and not heard:
-            peer.way = Way.THROUGH
-
-    def _take(self, item: Item, narrow: bool) -> None:
+        self._note_alive(peer)
+        self._note_reply()
+        probe.target_heard_us_ago = message.about
+        target_hears_us = 0.0 <= message.about <= self.now - probe.started_at + 0.5
+        we_hear_target = peer.last_heard_at >= probe.started_at
+        if we_hear_target and not target_hears_us:
+            peer.reachability = Reachability.INBOUND_ONLY
+        elif target_hears_us and not we_hear_target:
+            peer.reachability = Reachability.OUTBOUND_ONLY
+        elif not target_hears_us and not we_hear_target:
+            peer.reachability = Reachability.INDIRECT_ONLY
+
+    def _apply_item(self, item: Item, unconfirmed: bool) -> None:
         if item.name == self.name:
-            self._about_me(item, narrow)
-        elif item.state in WORDS:
-            self._word(item, narrow)
-        elif item.state in OUT or item.state == State.ALIVE:
-            self._record(item)
-
-    def _about_me(self, item: Item, narrow: bool = False) -> None:
-        mine = (self.start, self.birth)
+            self._on_item_about_self(item, unconfirmed)
+        elif item.state in REPORT_STATES:
+            self._on_report(item, unconfirmed)
+        elif item.state in DEPARTED_STATES or item.state == State.ALIVE:
+            self._merge_item(item)
+
+    def _on_item_about_self(self, item: Item, unconfirmed: bool = False) -> None:
+        own_process = (self.start, self.birth)
         if self.left:
             return
-        if narrow and item.process == mine and item.by in self.peers:
-            # Only its witness holds that word: to be heard there is enough, the fleet hears nothing of it.
-            self.counters.refuted += 1
-            self._send(self.peers[item.by].item.address, Kind.NEWS, items=[self.own_item])
+        if unconfirmed and item.process == own_process and item.by in self.peers:
+            # Only the witness holds the report: a message to it is enough, the fleet need not be told.
+            self.counters.refutations += 1
+            self._send(self.peers[item.by].item.address, Kind.GOSSIP, items=[self.own_item])
             return
-        if item.process > mine and item.state not in WORDS:
-            # An earlier process of this name, or another that took it: this one is newer from here on.
-            start, round = item.start + 1, 0
-        elif item.process == mine and item.round >= self.round and item.state not in (
+        if item.process > own_process and item.state not in REPORT_STATES:
+            # An earlier process of this name, or another that uses it: this one takes a higher start number.
+            start, new_round = item.start + 1, 0
+        elif item.process == own_process and item.round >= self.round and item.state not in (
             State.ALIVE, State.VOUCHED
         ):  # fmt: skip
-            start, round = self.start, item.round + 1
+            start, new_round = self.start, item.round + 1
         else:
             return
-        self.counters.refuted += 1
-        self._count_out(self.own_item)
-        self.start, self.round = start, round
-        self._count_in(self.own_item)
-        self._announce(self.own_item)
-
-    def _record(self, item: Item) -> None:
+        self.counters.refutations += 1
+        self._remove_from_view(self.own_item)
+        self.start, self.round = start, new_round
+        self._add_to_view(self.own_item)
+        self._enqueue_gossip(self.own_item)
+
+    def _merge_item(self, item: Item) -> None:
+        """Takes over a member's state if it is newer than the one held, and gossips it."""
         peer = self.peers.get(item.name)
         if peer is None:
             self.peers[item.name] = peer = Peer(item, self.now)
-            peer.evidence = self.now
-            self._changed(peer, None)
-            self._announce(item)
+            peer.last_evidence_at = self.now
+            self._on_peer_changed(peer, None)
+            self._enqueue_gossip(item)
             return
         if item.order <= peer.item.order:
             return
         if item.state == State.LOST and peer.alive and item.process == peer.item.process:
-            # Guards against a view that flaps when a cut heals: what the other side held is a word here,
-            # until it has lasted or this member has looked in vain.
-            lasted = self.now - peer.first >= 0.5 * self.timing.suspicion_timeout
-            if not (len(peer.words) >= WITNESSES and lasted):
+            # LOST as seen by others counts as a report of their witnesses until it has lasted or this
+            # member's own probe has failed. Otherwise views would flap when a partition heals.
+            has_lasted = self.now - peer.first_report_at >= 0.5 * self.timing.suspicion_timeout
+            if not (len(peer.reports) >= MIN_WITNESSES and has_lasted):
                 for by in item.by.split(","):
-                    self._accused(peer, by, State.SILENT)
-                if len(peer.words) >= WITNESSES:
-                    peer.lost_by = item.by
-                self._tell(peer, peer.item.address, item)
+                    self._add_report(peer, by, State.SILENT)
+                if len(peer.reports) >= MIN_WITNESSES:
+                    peer.lost_reported_by = item.by
+                self._notify_subject(peer, peer.item.address, item)
                 return
         before = peer.item
         peer.item = item
-        for by in peer.stamps:
-            self.queue.pop((item.name, by), None)
+        for by in peer.last_stamps:
+            self.gossip_queue.pop((item.name, by), None)
         if item.process != before.process:
-            peer.stamps, peer.way, peer.heard = {}, Way.UNKNOWN, NEVER
-        peer.words, peer.lost_by = {}, ""
-        peer.evidence = self.now
-        peer.since = self.now if (item.state, item.process) != (before.state, before.process) else peer.since
-        self._changed(peer, before)
-        self._announce(item)
+            peer.last_stamps, peer.reachability, peer.last_heard_at = {}, Reachability.UNKNOWN, NEVER
+        peer.reports, peer.lost_reported_by = {}, ""
+        peer.last_evidence_at = self.now
+        peer.state_since = (
+            self.now if (item.state, item.process) != (before.state, before.process) else peer.state_since
+        )
+        self._on_peer_changed(peer, before)
+        self._enqueue_gossip(item)
 
-    def _word(self, item: Item, narrow: bool = False) -> None:
-        """What one witness says. Alone it goes to the member itself and to a few, who see for themselves.
+    def _on_report(self, item: Item, unconfirmed: bool = False) -> None:
+        """Takes the report of one witness.
 
-        Guards against a fleet that talks of nothing but words where a third of all messages is lost.
+        An unconfirmed report goes only to its subject and to a few members that verify it, so that reports do
+        not crowd out all other gossip where a third of the messages is lost.
         """
         peer = self.peers.get(item.name)
         if peer is None or not peer.alive or item.process != peer.item.process:
             return
-        if item.round < peer.item.round or item.stamp <= peer.stamps.get(item.by, 0):
+        if item.round < peer.item.round or item.stamp <= peer.last_stamps.get(item.by, 0):
             return
-        if item.state == State.SILENT and self._enough(peer, item.by):
+        if item.state == State.SILENT and self._has_enough_reports(peer, item.by):
             return
-        peer.stamps[item.by] = item.stamp
+        peer.last_stamps[item.by] = item.stamp
         if item.state == State.VOUCHED:
-            peer.evidence = self.now
-            if len(peer.words) >= WITNESSES or not narrow:
-                self._announce(item)
-            peer.words = {by: word for by, word in peer.words.items() if word is State.REFUSED}
+            peer.last_evidence_at = self.now
+            if len(peer.reports) >= MIN_WITNESSES or not unconfirmed:
+                self._enqueue_gossip(item)
+            peer.reports = {by: state for by, state in peer.reports.items() if state is State.REFUSED}
             return
-        first = not peer.words
-        self._accused(peer, item.by, State(item.state))
-        if sum(word is State.REFUSED for word in peer.words.values()) >= WITNESSES:
-            self._replace(peer, State.ENDED)
-        elif len(peer.words) >= WITNESSES:
-            for by, state in peer.words.items():
-                self._announce(self._said(peer, by, state))
+        is_first = not peer.reports
+        self._add_report(peer, item.by, State(item.state))
+        if sum(state is State.REFUSED for state in peer.reports.values()) >= MIN_WITNESSES:
+            self._set_state(peer, State.ENDED)
+        elif len(peer.reports) >= MIN_WITNESSES:
+            for by, state in peer.reports.items():
+                self._enqueue_gossip(self._report_item(peer, by, state))
         elif item.by == self.name:
-            self._ask_others(peer, item)
-        elif narrow:
-            self._look(item.name)
-        if first and not narrow and item.by != self.name and peer.alive:
-            self._tell(peer, peer.item.address)
+            self._request_confirmation(peer, item)
+        elif unconfirmed:
+            self._verify(item.name)
+        if is_first and not unconfirmed and item.by != self.name and peer.alive:
+            self._notify_subject(peer, peer.item.address)
 
     @staticmethod
-    def _enough(peer: Peer, by: str) -> bool:
-        """More words add nothing. Guards against half of a cut fleet that talks of each of the other half."""
-        return by not in peer.words and len(peer.words) >= MOST_WORDS
-
-    def _ask_others(self, peer: Peer, item: Item) -> None:
-        """To see for themselves: a few, among them the one last heard, since a cut may hide most others."""
-        few = [each for each in self.peers.values() if each.alive and not each.words]
-        chosen = self.chance.sample(few, min(len(few), FANOUT - 1)) + [peer]
-        if few and (last := max(few, key=lambda each: each.heard)) not in chosen:
-            chosen.append(last)
-        for each in chosen:
-            self._send(each.item.address, Kind.WORD, items=[item])
+    def _has_enough_reports(peer: Peer, by: str) -> bool:
+        """Whether another report of silence adds nothing.
+
+        Bounds the gossip when one half of a partitioned fleet reports each member of the other half.
+        """
+        return by not in peer.reports and len(peer.reports) >= MAX_SILENCE_REPORTS
+
+    def _request_confirmation(self, peer: Peer, item: Item) -> None:
+        """Asks a few members to verify a report.
+
+        One of them is the member heard last, since a partition may hide most of the others. The subject
+        gets the report too.
+        """
+        candidates = [
+            candidate for candidate in self.peers.values() if candidate.alive and not candidate.reports
+        ]
+        recipients = self.rng.sample(candidates, min(len(candidates), GOSSIP_FANOUT - 1)) + [peer]
+        if (
+            candidates
+            and (heard_last := max(candidates, key=lambda candidate: candidate.last_heard_at))
+            not in recipients
+        ):
+            recipients.append(heard_last)
+        for recipient in recipients:
+            self._send(recipient.item.address, Kind.REPORT, items=[item])
 
     @staticmethod
-    def _said(peer: Peer, by: str, state: State) -> Item:
+    def _report_item(peer: Peer, by: str, state: State) -> Item:
         item = peer.item
-        return Item(item.name, item.start, item.birth, item.round, state, by=by, stamp=peer.stamps.get(by, 0))
+        return Item(
+            item.name, item.start, item.birth, item.round, state, by=by, stamp=peer.last_stamps.get(by, 0)
+        )
 
-    def _look(self, name: str) -> None:
-        """Sees for itself, by all ways at once."""
-        self._probe(name)
+    def _verify(self, name: str) -> None:
+        """Probes a member over all paths at once."""
+        self._start_probe(name)
         for probe in self.probes.values():
-            if probe.name == name and probe.tries != math.inf:
-                probe.tries = self.now
+            if probe.name == name and probe.fallback_at != math.inf:
+                probe.fallback_at = self.now
 
-    def _accused(self, peer: Peer, by: str, state: State) -> None:
-        if not peer.words:
-            peer.first = self.now
-            self.accused.add(peer.item.name)
+    def _add_report(self, peer: Peer, by: str, state: State) -> None:
+        if not peer.reports:
+            peer.first_report_at = self.now
+            self.suspects.add(peer.item.name)
             self.changes.append(Change(peer.item.name, "not heard of", (by,), False))
-        peer.words[by] = state
+        peer.reports[by] = state
 
-    def _changed(self, peer: Peer, before: Item | None) -> None:
+    def _on_peer_changed(self, peer: Peer, before: Item | None) -> None:
         item = peer.item
-        was = before is not None and before.state == State.ALIVE
-        view = was != peer.alive
-        if view or (before is not None and before.process != item.process):
-            self.counters.views += view
-            self.changed = self.now
-            what = "alive" if peer.alive else State(item.state).name.lower()
+        was_alive = before is not None and before.state == State.ALIVE
+        alive_changed = was_alive != peer.alive
+        if alive_changed or (before is not None and before.process != item.process):
+            self.counters.view_changes += alive_changed
+            self.view_changed_at = self.now
+            state = "alive" if peer.alive else State(item.state).name.lower()
             witnesses = tuple(item.by.split(",")) if item.by else ()
-            self.changes.append(Change(item.name, what, witnesses, view))
-        if was:
-            self._count_out(before)
+            self.changes.append(Change(item.name, state, witnesses, alive_changed))
+        if was_alive:
+            self._remove_from_view(before)
         if peer.alive:
-            self._count_in(item)
+            self._add_to_view(item)
 
-    def _count_in(self, item: Item) -> None:
+    def _add_to_view(self, item: Item) -> None:
         bisect.insort(self.ring, (zlib.crc32(item.name.encode()), item.name))
-        self.others = None
-        self.digest ^= _sum(item)
+        self.cached_other_members = None
+        self.digest ^= _process_hash(item)
 
-    def _count_out(self, item: Item) -> None:
+    def _remove_from_view(self, item: Item) -> None:
         del self.ring[bisect.bisect_left(self.ring, (zlib.crc32(item.name.encode()), item.name))]
-        self.others = None
-        self.digest ^= _sum(item)
+        self.cached_other_members = None
+        self.digest ^= _process_hash(item)
 
-    # What it says.
+    # Outgoing messages.
 
-    def _alive(self) -> list[str]:
-        if self.others is None:
-            self.others = [name for _, name in self.ring if name != self.name]
-        return self.others
+    def _other_members(self) -> list[str]:
+        if self.cached_other_members is None:
+            self.cached_other_members = [name for _, name in self.ring if name != self.name]
+        return self.cached_other_members
 
-    def _announce(self, item: Item) -> None:
+    def _enqueue_gossip(self, item: Item) -> None:
         if not self.joined and item.name != self.name:
-            return  # all is new to one that has just come, and to nobody else
+            return  # to a joining member everything is new, to the others nothing of it
         sends = 2 + math.ceil(math.log2(len(self.ring) + 2))
-        self.queue[(item.name, item.by if item.state in WORDS else "")] = [item, sends]
-        self.urgent.append(item)
+        self.gossip_queue[(item.name, item.by if item.state in REPORT_STATES else "")] = [item, sends]
+        self.fresh_items.append(item)
 
-    def _riders(self, room: int = MOST_DATAGRAM - 200) -> list[Item]:
-        """News that ride along: states before words, then those told least often.
+    def _piggyback_items(self, room: int = MAX_DATAGRAM_BYTES - HEADER_RESERVE_BYTES) -> list[Item]:
+        """Items to piggyback on a ping or ack: states before reports, then those sent least often.
 
-        Guards against refutations that wait behind the words that they refute.
+        States come first so that a refutation does not wait behind the reports that it refutes.
         """
         items: list[Item] = []
-        for key, entry in heapq.nsmallest(MOST_RIDERS, self.queue.items(), key=_rank):
-            room -= size(entry[0])
+        for key, entry in heapq.nsmallest(
+            MAX_PIGGYBACK_ITEMS, self.gossip_queue.items(), key=_gossip_priority
+        ):
+            room -= encoded_size(entry[0])
             if room < 0:
                 break
             items.append(entry[0])
             entry[1] -= 1
             if entry[1] <= 0:
-                del self.queue[key]
+                del self.gossip_queue[key]
         return items
 
-    def _flush(self) -> None:
-        """What is new goes to a few at once."""
-        if not self.urgent:
+    def _flush_gossip(self) -> None:
+        """Sends new items to a few random members."""
+        if not self.fresh_items:
             return
-        news, self.urgent = sorted(self.urgent, key=lambda item: item.state in WORDS)[:12], []
-        alive = self._alive()
-        for name in self.chance.sample(alive, min(len(alive), FANOUT if len(alive) < LARGE else 2)):
-            self._send(self.peers[name].item.address, Kind.NEWS, items=news)
+        items, self.fresh_items = (
+            sorted(self.fresh_items, key=lambda item: item.state in REPORT_STATES)[:MAX_GOSSIP_ITEMS],
+            [],
+        )
+        alive = self._other_members()
+        for name in self.rng.sample(
+            alive, min(len(alive), GOSSIP_FANOUT if len(alive) < LARGE_FLEET_MEMBERS else 2)
+        ):
+            self._send(self.peers[name].item.address, Kind.GOSSIP, items=items)
 
     def _message(self, kind: Kind, number: int = 0, **fields: object) -> Message:
         return Message(VERSION, self.fleet, kind, self.name, self.start, self.birth, self.round,
@@ -820,10 +905,14 @@
         self.actions.append(Send(address, self._message(kind, number=number, **fields)))
 
 
-def _rank(entry: tuple[tuple[str, str], list]) -> tuple[bool, int]:
+def _gossip_priority(entry: tuple[tuple[str, str], list]) -> tuple[bool, int]:
+    """Sort key of the gossip queue: states before reports, then by the most sends left."""
     return (bool(entry[0][1]), -entry[1][1])
 
 
-def _sum(item: Item) -> int:
-    # Without the round: it is raised for a few, and the rest need not know.
+def _process_hash(item: Item) -> int:
+    """Contribution of a member to the view digest.
+
+    The round is left out: a refutation concerns only the few members that hold the report.
+    """
     return zlib.crc32(f"{item.name} {item.start} {item.birth}".encode())
--- a/thornladder/membership/explore.py
+++ b/thornladder/membership/explore.py
@@ -52,11 +52,18 @@
                 parts.append((name, None))
                 continue
             peers = tuple(
-                (p.item.order, p.way.value, tuple(sorted(p.words.items())), round(core.now - p.evidence, 2))
+                (
+                    p.item.order,
+                    p.reachability.value,
+                    tuple(sorted(p.reports.items())),
+                    round(core.now - p.last_evidence_at, 2),
+                )
                 for _, p in sorted(core.peers.items())
             )
-            probes = tuple((p.name, round(p.ends - core.now, 2), p.about) for p in core.probes.values())
-            quiet = round(max(core.quiet_until - core.now, 0.0), 2)
+            probes = tuple(
+                (p.name, round(p.deadline - core.now, 2), p.target_heard_us_ago) for p in core.probes.values()
+            )
+            quiet = round(max(core.no_reports_until - core.now, 0.0), 2)
             parts.append(
                 (name, core.own_item.order, peers, probes, quiet, round(core.next_wake_at - self.now, 2))
             )
@@ -131,18 +138,18 @@
 
 
 def _step(spot: Spot, core: Core, what: Any, *given: Any) -> str:
-    said = core.counters.accused
+    said = core.counters.reports_made
     what(*given)
     for act in core.take_actions():
         _act(spot, core, act)
     core.take_changes()
-    if core.counters.accused > said and core.now < core.quiet_until and not _refusals(core):
+    if core.counters.reports_made > said and core.now < core.no_reports_until and not _refusals(core):
         return f"{core.name} accused another before it had caught up"
     return broken(spot)
 
 
 def _refusals(core: Core) -> bool:
-    return any(State.REFUSED in peer.words.values() or peer.item.state == State.ENDED
+    return any(State.REFUSED in peer.reports.values() or peer.item.state == State.ENDED
                for peer in core.peers.values())  # fmt: skip
 
 
--- a/thornladder/membership/transport.py
+++ b/thornladder/membership/transport.py
@@ -1,4 +1,4 @@
-"""A core on sockets: datagrams, and connections for whole views and for what datagrams do not reach."""
+"""Runs a membership core on sockets: UDP datagrams, and TCP connections for whole views and probes."""
 
 from __future__ import annotations
 
@@ -13,36 +13,38 @@
 
 from thornladder.membership.core import Action, ConnectionOutcome, ConnectionProbe, Core, Send, Sync
 from thornladder.membership.wire import (
-    MOST_DATAGRAM,
-    MOST_VIEW,
+    MAX_DATAGRAM_BYTES,
+    MAX_VIEW_BYTES,
     Message,
     decode,
     encode,
     split_address,
 )
 
-CHECK = 0.5  # seconds for a connection and its answer, within the second that a probe has
-VIEW = 3.0  # seconds for whole views both ways
-MOST_CALLERS = 16  # connections taken at once
-MOST_CALLS = 16  # made at once
-STEP = 0.05  # seconds slept at most, so that what a message made due comes in time
-BATCH = 64  # datagrams read in one go before others have their turn
-_LENGTH = struct.Struct("!I")
+CONNECTION_PROBE_SECONDS = 0.5  # for connecting and the reply; within the probe timeout of a second
+VIEW_EXCHANGE_SECONDS = 3.0  # for whole views in both directions
+MAX_INBOUND_CONNECTIONS = 16  # counted together with the outbound ones
+MAX_OUTBOUND_CONNECTIONS = 16
+MAX_SLEEP_SECONDS = 0.05  # since a received message may bring the next wake-up forward
+RECEIVE_BATCH = 64  # datagrams read before other tasks get their turn
+_LENGTH_PREFIX = struct.Struct("!I")
 
 
 class Transport:
-    DESCRIPTORS = MOST_CALLERS + MOST_CALLS + 4
+    """Carries out the actions of a core and feeds it messages, connection results and wake-ups."""
 
-    def __init__(self, core: Core, listen: tuple[str, int], log: Any, changed: Callable[[], None]) -> None:
-        """`changed` is called after each step, once the core's changes stand."""
-        self.core, self.listen, self.log, self.changed = core, listen, log, changed
+    DESCRIPTORS = MAX_INBOUND_CONNECTIONS + MAX_OUTBOUND_CONNECTIONS + 4
+
+    def __init__(self, core: Core, listen: tuple[str, int], log: Any, on_change: Callable[[], None]) -> None:
+        """`on_change` is called after each input to the core, when its changes may be taken."""
+        self.core, self.listen, self.log, self.on_change = core, listen, log, on_change
         self.clock = time.monotonic
-        self.garbage = self.unsent = 0
-        self.calls = 0
+        self.undecodable = self.unsent = 0
+        self.open_connections = 0
         self.udp: socket.socket | None = None
 
     async def run(self) -> None:
-        """Until cancelled; raises OSError where the address cannot be had."""
+        """Runs until cancelled. Raises OSError if the address cannot be bound."""
         udp = socket.socket(socket.AF_INET6 if ":" in self.listen[0] else socket.AF_INET, socket.SOCK_DGRAM)
         try:
             udp.setblocking(False)
@@ -51,46 +53,48 @@
                 local_host=self.listen[0], local_port=self.listen[1], reuse_port=False
             )
             self.udp = udp
-            async with listener, anyio.create_task_group() as group:
-                self.group: TaskGroup = group
-                group.start_soon(self._receive)
-                group.start_soon(listener.serve, self._serve)
+            async with listener, anyio.create_task_group() as tasks:
+                self.tasks: TaskGroup = tasks
+                tasks.start_soon(self._receive)
+                tasks.start_soon(listener.serve, self._serve)
                 while True:
                     self._step(self.core.wake)
-                    await anyio.sleep(min(max(self.core.next_wake_at - self.clock(), 0.001), STEP))
+                    await anyio.sleep(
+                        min(max(self.core.next_wake_at - self.clock(), 0.001), MAX_SLEEP_SECONDS)
+                    )
         finally:
             self.udp = None
             udp.close()
 
-    def say(self) -> None:
-        """Sends what the core has to say; calls for connections are dropped where none can be made."""
-        for act in self.core.take_actions():
-            if isinstance(act, Send):
-                self._send(act)
-            elif self.calls < MOST_CALLS:
-                self.calls += 1
-                self.group.start_soon(self._call, act)
-
-    def _step(self, what: Callable[..., None], *given: Any) -> None:
-        what(self.clock(), *given)
-        self.say()
-        self.changed()
-
-    def _send(self, act: Send) -> None:
-        address = split_address(act.address)
-        data = encode(act.message)
-        if address is None or len(data) > MOST_DATAGRAM or self.udp is None:
+    def send_pending(self) -> None:
+        """Carries out the pending actions of the core; connections beyond the limit are dropped."""
+        for action in self.core.take_actions():
+            if isinstance(action, Send):
+                self._send(action)
+            elif self.open_connections < MAX_OUTBOUND_CONNECTIONS:
+                self.open_connections += 1
+                self.tasks.start_soon(self._run_connection, action)
+
+    def _step(self, handler: Callable[..., None], *args: Any) -> None:
+        handler(self.clock(), *args)
+        self.send_pending()
+        self.on_change()
+
+    def _send(self, action: Send) -> None:
+        address = split_address(action.address)
+        data = encode(action.message)
+        if address is None or len(data) > MAX_DATAGRAM_BYTES or self.udp is None:
             self.unsent += 1
             return
         try:
             self.udp.sendto(data, address)
-        except OSError:  # a full buffer, or an address that cannot be reached: as good as lost
+        except OSError:  # full socket buffer or unreachable address: treated like a lost datagram
             self.unsent += 1
 
     async def _receive(self) -> None:
         while True:
             await anyio.wait_readable(self.udp)
-            for _ in range(BATCH):
+            for _ in range(RECEIVE_BATCH):
                 try:
                     data, source = self.udp.recvfrom(65536)
                 except (BlockingIOError, InterruptedError):
@@ -99,54 +103,57 @@
                     continue
                 message = decode(data)
                 if message is None:
-                    self.garbage += 1
+                    self.undecodable += 1
                 else:
                     self._step(self.core.on_message, f"{source[0]}:{source[1]}", message)
             await anyio.sleep(0)
 
     async def _serve(self, stream: SocketStream) -> None:
         async with stream:
-            if self.calls >= MOST_CALLERS + MOST_CALLS:
+            if self.open_connections >= MAX_INBOUND_CONNECTIONS + MAX_OUTBOUND_CONNECTIONS:
                 return
-            self.calls += 1
+            self.open_connections += 1
             try:
-                with anyio.move_on_after(VIEW):
-                    message = await _take(stream)
+                with anyio.move_on_after(VIEW_EXCHANGE_SECONDS):
+                    message = await _read_message(stream)
                     if message is None:
-                        self.garbage += 1
+                        self.undecodable += 1
                         return
-                    answer = self.core.reply_to(message)
+                    reply = self.core.reply_to(message)
                     self._step(self.core.on_message, message.address, message, True)
-                    await _give(stream, answer)
+                    await _write_message(stream, reply)
             except (OSError, anyio.BrokenResourceError, anyio.EndOfStream):
                 pass
             finally:
-                self.calls -= 1
+                self.open_connections -= 1
 
-    async def _call(self, act: Action) -> None:
+    async def _run_connection(self, action: Action) -> None:
         try:
-            if isinstance(act, ConnectionProbe):
-                verdict = await self._ask(act.address, act.message, CHECK)
-                if verdict is not None:
-                    self._step(self.core.on_connection_outcome, act.message.number, verdict)
-            elif isinstance(act, Sync):
-                await self._ask(act.address, self.core.view_message(), VIEW)
+            if isinstance(action, ConnectionProbe):
+                outcome = await self._exchange(action.address, action.message, CONNECTION_PROBE_SECONDS)
+                if outcome is not None:
+                    self._step(self.core.on_connection_outcome, action.message.number, outcome)
+            elif isinstance(action, Sync):
+                await self._exchange(action.address, self.core.view_message(), VIEW_EXCHANGE_SECONDS)
         finally:
-            self.calls -= 1
+            self.open_connections -= 1
+
+    async def _exchange(self, address: str, message: Message, timeout: float) -> ConnectionOutcome | None:
+        """Sends `message` over a connection and passes the reply to the core.
 
-    async def _ask(self, address: str, message: Message, patience: float) -> ConnectionOutcome | None:
-        """What else than an answer came; an answer goes to the core."""
-        where = split_address(address)
-        if where is None:
+        Returns None after a reply, else why there was none.
+        """
+        endpoint = split_address(address)
+        if endpoint is None:
             return ConnectionOutcome.NO_ANSWER
         try:
-            with anyio.move_on_after(patience):
-                # From its own address: others tell members apart by it.
-                async with await anyio.connect_tcp(*where, local_host=self.listen[0]) as stream:
-                    await _give(stream, message)
-                    answer = await _take(stream)
-                    if answer is not None:
-                        self._step(self.core.on_message, address, answer, True)
+            with anyio.move_on_after(timeout):
+                # From the listening address, by which others tell members apart.
+                async with await anyio.connect_tcp(*endpoint, local_host=self.listen[0]) as stream:
+                    await _write_message(stream, message)
+                    reply = await _read_message(stream)
+                    if reply is not None:
+                        self._step(self.core.on_message, address, reply, True)
                         return None
         except OSError as error:
             if isinstance(error.__cause__ or error, ConnectionRefusedError):
@@ -156,20 +163,21 @@
         return ConnectionOutcome.NO_ANSWER
 
 
-async def _give(stream: SocketStream, message: Message) -> None:
+async def _write_message(stream: SocketStream, message: Message) -> None:
+    """Writes a message after its length as a 32-bit prefix."""
     data = encode(message)
-    await stream.send(_LENGTH.pack(len(data)) + data)
+    await stream.send(_LENGTH_PREFIX.pack(len(data)) + data)
 
 
-async def _take(stream: SocketStream) -> Message | None:
-    """One message, or None: it is none."""
+async def _read_message(stream: SocketStream) -> Message | None:
+    """Reads one message; None if it is malformed or too long."""
     data = bytearray()
-    wanted = _LENGTH.size
-    while len(data) < wanted:
+    expected = _LENGTH_PREFIX.size
+    while len(data) < expected:
         data += await stream.receive()
-        if len(data) >= _LENGTH.size and wanted == _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(data)
-            if length > MOST_VIEW:
+        if len(data) >= _LENGTH_PREFIX.size and expected == _LENGTH_PREFIX.size:
+            (length,) = _LENGTH_PREFIX.unpack_from(data)
+            if length > MAX_VIEW_BYTES:
                 return None
-            wanted += length
-    return decode(bytes(data[_LENGTH.size : wanted]))
+            expected += length
+    return decode(bytes(data[_LENGTH_PREFIX.size : expected]))
