--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time: what each fault may and may not do to the views, as a table of schedules."""
+"""Membership in virtual time: the effect of each kind of fault on the members' views."""
 
 from __future__ import annotations
 
@@ -18,71 +18,79 @@
 N01, HALF, REST = ("n01",), tuple(NAMES[:4]), tuple(NAMES[4:])
 
 
-def fault(kind: str, at: float, lasts: float = 0.0, **more: object) -> Fault:
-    return Fault(kind=kind, at=at, lasts=lasts, **more)
+def fault(kind: str, at: float, lasts: float = 0.0, **parameters: object) -> Fault:
+    """A fault of the rig; `at` and `lasts` in seconds."""
+    return Fault(kind=kind, at=at, lasts=lasts, **parameters)
 
 
-# name: faults, how long, most changes of view at each member for each other one (0: nobody removed).
-BORNE = {
+# name: (faults, seconds to run). None of them may remove a member from a view.
+TOLERATED_FAULTS = {
     "nothing": ([], 20.0),
     "paused five times": ([fault("pause", 5 + 12 * k, 5.0, nodes=("n01",)) for k in range(5)], 70.0),
-    "half of it paused and awake at once": ([fault("pause", 5, 5.0, nodes=HALF)], 30.0),
-    "a loss of 30%": ([fault("loss", 5, 60.0, share=0.3)], 75.0),
-    "frozen over and over": ([fault("freeze", 5, 40.0, nodes=HALF)], 60.0),
-    "robbed of its core": ([fault("rob", 5, 60.0, seconds=3.0, nodes=("n01",))], 80.0),
+    "half of the fleet paused and resumed at once": ([fault("pause", 5, 5.0, nodes=HALF)], 30.0),
+    "30% loss": ([fault("loss", 5, 60.0, share=0.3)], 75.0),
+    "short freezes of half the fleet": ([fault("freeze", 5, 40.0, nodes=HALF)], 60.0),
+    "one member starved of CPU": ([fault("rob", 5, 60.0, seconds=3.0, nodes=("n01",))], 80.0),
     "a to b cut": ([fault("cut", 5, 30.0, source=("n00",), target=("n01",))], 50.0),
     "a and b cut": ([fault("cut", 5, 30.0, source=("n00",), target=("n01",), both=True)], 50),
-    "nobody is heard by one": ([fault("cut", 5, 30.0, target=("n01",))], 50.0),
+    "one member receives nothing": ([fault("cut", 5, 30.0, target=("n01",))], 50.0),
     "a cut of 2 s": ([fault("cut", 5, 2.0, source=HALF, both=True, target=REST)], 30.0),
     "a cut of 2 s, five times": (
         [fault("cut", 5 + 4 * k, 2.0, source=HALF, target=REST, both=True) for k in range(5)], 50.0,
     ),
     "large datagrams lost": ([fault("large", 0, 40.0, bytes=300)], 45.0),
-    "late and out of order": ([fault("jitter", 5, 30.0, seconds=0.15), fault("reorder", 5, 30.0, share=0.2,
-        seconds=1.0), fault("duplicate", 5, 30.0, share=0.5)], 50.0),
+    "late, reordered and duplicated datagrams": (
+        [fault("jitter", 5, 30.0, seconds=0.15), fault("reorder", 5, 30.0, share=0.2, seconds=1.0),
+         fault("duplicate", 5, 30.0, share=0.5)], 50.0,
+    ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("name", BORNE)
+@pytest.mark.parametrize("name", TOLERATED_FAULTS)
 def test_nobody_is_removed(name: str, seed: int) -> None:
-    faults, lasts = BORNE[name]
+    faults, seconds = TOLERATED_FAULTS[name]
     world = World(NAMES, faults, seed)
-    world.run(lasts)
-    assert [told for told in world.told if told.view] == []
+    world.run(seconds)
+    assert [change for change in world.told if change.view] == []
     assert world.one_view()
 
 
-def ended(world: World, of: str) -> dict[str, float]:
-    return {told.by: told.at for told in world.told if told.of == of and told.view and told.what != "alive"}
+def removals(world: World, subject: str) -> dict[str, float]:
+    """When each member removed `subject` from its view, seconds."""
+    return {
+        change.by: change.at
+        for change in world.told
+        if change.of == subject and change.view and change.what != "alive"
+    }
 
 
 @pytest.mark.parametrize("size", [3, 8, 16])
 @pytest.mark.parametrize("seed", range(4))
-def test_the_killed_are_known_in_2_s_the_silent_in_10_and_both_come_back(size: int, seed: int) -> None:
+def test_killed_members_are_removed_in_2_s_silent_ones_in_10_s_and_both_rejoin(size: int, seed: int) -> None:
     names = [f"n{number:02}" for number in range(size)]
     faults = [fault("kill", 5, nodes=("n01",)), fault("start", 20, nodes=("n01",)),
               fault("cut", 40, 30, source=("n02",), both=True)]  # fmt: skip
     world = World(names, faults, seed)
     processes = {name: place.core.own_item.process for name, place in world.places.items()}
     world.run(20)
-    known = ended(world, "n01")
-    assert len(known) == size - 1 and max(known.values()) < 7.0
+    removed_at = removals(world, "n01")
+    assert len(removed_at) == size - 1 and max(removed_at.values()) < 7.0
     world.run(70)
-    known = ended(world, "n02")
-    assert len(known) == size - 1 and max(known.values()) < 50.0
+    removed_at = removals(world, "n02")
+    assert len(removed_at) == size - 1 and max(removed_at.values()) < 50.0
     assert world.until_one_view(5.0) <= 5.0
-    # One change for an event: gone and back for each of two, at each other one, beside n01's own start.
-    changes = [told for told in world.told if told.view and (told.by != "n01" or told.at > 30.0)]
+    # Two members go and come back: two changes each at every other member, apart from n01's own restart.
+    changes = [change for change in world.told if change.view and (change.by != "n01" or change.at > 30.0)]
     assert len(changes) <= 2 * 2 * (size - 1)
     assert processes["n01"] < world.places["n00"].core.peers["n01"].item.process
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_half_is_killed_at_once_and_a_cut_heals_to_one_view(seed: int) -> None:
+def test_views_agree_after_half_was_killed_and_after_a_cut(seed: int) -> None:
     faults = [fault("kill", 5, nodes=HALF), fault("start", 12, nodes=HALF),
               fault("cut", 25, 30, source=HALF[:2], target=(*HALF[2:], *REST), both=True)]  # fmt: skip
-    world = World(NAMES, faults, seed, seeds=4)  # every seed dies too
+    world = World(NAMES, faults, seed, seeds=4)  # every seed is killed too
     world.run(7.0)
     assert world.one_view(REST)
     world.run(12.0)
@@ -93,7 +101,7 @@
     assert world.until_one_view(5.0) <= 5.0
 
 
-def test_all_start_at_once_with_all_seeds_among_them_and_a_clock_an_hour_off() -> None:
+def test_views_agree_after_a_start_of_all_members_with_skewed_clocks() -> None:
     faults = [fault("kill", 5, nodes=tuple(NAMES)), fault("start", 5.5, nodes=tuple(NAMES))]
     world = World(NAMES, faults, 1, joined=False, skew={"n03": 3600.0, "n04": -3600.0})
     world.run(4.0)
@@ -102,28 +110,34 @@
     assert world.until_one_view(5.0) <= 5.0
 
 
-FORMS = {
-    "a to b cut": (("n00",), ("n01",), {("n00", "n01"): Reachability.INBOUND_ONLY, ("n01", "n00"): Reachability.OUTBOUND_ONLY}),
-    "b deaf to all": (("*",), ("n01",), {("n00", "n01"): Reachability.INBOUND_ONLY}),
+ONE_SIDED_CUTS = {
+    "a to b cut": (
+        ("n00",),
+        ("n01",),
+        {("n00", "n01"): Reachability.INBOUND_ONLY, ("n01", "n00"): Reachability.OUTBOUND_ONLY},
+    ),
+    "b receives nothing": (("*",), ("n01",), {("n00", "n01"): Reachability.INBOUND_ONLY}),
 }
 
 
-@pytest.mark.parametrize("name", FORMS)
-def test_a_one_sided_cut_is_named(name: str) -> None:
-    source, target, forms = FORMS[name]
+@pytest.mark.parametrize("name", ONE_SIDED_CUTS)
+def test_a_one_sided_cut_is_recognized(name: str) -> None:
+    source, target, expected = ONE_SIDED_CUTS[name]
     world = World(NAMES, [fault("cut", 5, 60, source=source, target=target)], 3)
     seen: set[tuple[str, str, Reachability]] = set()
 
-    def look(world: World, place: object) -> None:
-        seen.update((by, of, world.places[by].core.peers[of].reachability) for by, of in forms)
+    def record_reachability(world: World, place: object) -> None:
+        seen.update(
+            (by, subject, world.places[by].core.peers[subject].reachability) for by, subject in expected
+        )
 
-    world.checks.append(look)
+    world.checks.append(record_reachability)
     world.run(60)
-    assert {(by, of, way) for (by, of), way in forms.items()} <= seen
-    assert name != "b deaf to all" or world.places["n01"].core.isolated
+    assert {(by, subject, reachability) for (by, subject), reachability in expected.items()} <= seen
+    assert name != "b receives nothing" or world.places["n01"].core.isolated
 
 
-def test_an_address_taken_over_within_a_second_is_no_sign_of_life() -> None:
+def test_another_member_at_the_address_is_no_sign_of_life() -> None:
     world = World([*NAMES, "new"], [fault("kill", 5, nodes=("n01",)), fault("start", 5.6, nodes=("new",))], 1)
     world.places["new"].core = None
     world.places["new"].address = world.places["n01"].address
@@ -132,15 +146,19 @@
     assert "n01" not in world.places["n00"].core.members
 
 
-def test_a_paused_member_accuses_nobody() -> None:
-    # Its waits ran out while it stood still, and it took all others for silent.
+def test_a_paused_member_reports_nobody() -> None:
+    # The timeouts that expire during a pause must not make the member take all others for silent.
     faults = [fault("pause", 5.0 + 0.37 * k + 10 * k, 8.0, nodes=("n01",)) for k in range(6)]
     world = World(NAMES, faults, 5)
     world.run(70)
-    assert world.places["n01"].core.counters.reports_made == 0 and world.places["n01"].core.counters.pauses >= 6
+    assert (
+        world.places["n01"].core.counters.reports_made == 0 and world.places["n01"].core.counters.pauses >= 6
+    )
 
 
 class NeverRefutes(Core):
+    """Ignores reports about itself and signs of life of others."""
+
     def _on_item_about_self(self, item: Item, unconfirmed: bool = False) -> None:
         pass
 
@@ -149,10 +167,10 @@
 
 
 class SameStart(Core):
-    """A new process that counts as the old one."""
+    """Gives every process the same identity, so that a new one counts as the old one."""
 
-    def __init__(self, *given: object, **more: object) -> None:
-        super().__init__(*given, **more)
+    def __init__(self, *args: object, **kwargs: object) -> None:
+        super().__init__(*args, **kwargs)
         self._remove_from_view(self.own_item)
         self.birth = 7
         self._add_to_view(self.own_item)
@@ -161,14 +179,18 @@
         pass
 
 
-class AccusesAfterPause(Core):
-    isolated = False  # which by itself holds it back too
+class ReportsAfterPause(Core):
+    """Takes the time of a pause for silence of the others."""
+
+    isolated = False  # otherwise isolation too would keep it from reporting
 
     def _advance_clock(self, now: float) -> None:
         self.now = max(self.now, now)
 
 
 class NeverMerges(Core):
+    """Never reaches out to lost members, so that the sides of a cut stay apart."""
+
     def _try_rejoin(self) -> None:
         pass
 
@@ -180,74 +202,74 @@
         pass
 
 
-PLANTED = {
-    "suspicion is never refuted": (
+BROKEN_CORES = {
+    "reports are never refuted": (
         NeverRefutes, [fault("pause", 5 + 9 * k, 6.5, nodes=N01) for k in range(4)],
     ),
     "start numbers repeat": (SameStart, [fault("kill", 5, nodes=N01), fault("start", 9, nodes=N01)]),
-    "accusation after a pause": (AccusesAfterPause, [
-        each for k in range(4) for each in (
+    "reports after a pause": (ReportsAfterPause, [
+        event for k in range(4) for event in (
             fault("pause", 5 + 11 * k, 8.0, nodes=N01), fault("loss", 4.7 + 11 * k, 0.35, share=1.0))
     ]),
     "a view that never merges": (NeverMerges, [fault("cut", 5, 20, source=HALF, target=REST, both=True)]),
 }  # fmt: skip
 
 
-def sound(make: type[Core], faults: list[Fault]) -> bool:
-    """What the table above asks, as a verdict: one true view at the end, no word of one that paused."""
+def is_consistent(make: type[Core], faults: list[Fault]) -> bool:
+    """Whether all views are the true one at the end and no paused member made a report."""
 
-    def maker(name: str, address: str, seeds: list[str], chance: Random, now: float) -> Core:
-        return make(name, address, "fleet", seeds, chance, now)
+    def make_member(name: str, address: str, seeds: list[str], rng: Random, now: float) -> Core:
+        return make(name, address, "fleet", seeds, rng, now)
 
-    world = World(NAMES, faults, 2, make=maker)
+    world = World(NAMES, faults, 2, make=make_member)
     world.run(60)
-    paused = {name for each in faults if each.kind == "pause" for name in each.nodes}
+    paused = {name for event in faults if event.kind == "pause" for name in event.nodes}
     return world.one_view() and not any(world.places[name].core.counters.reports_made for name in paused)
 
 
-@pytest.mark.parametrize("name", PLANTED)
-def test_planted_faults_are_caught(name: str) -> None:
-    make, faults = PLANTED[name]
-    assert sound(Core, faults)
-    assert not sound(make, faults)
+@pytest.mark.parametrize("name", BROKEN_CORES)
+def test_broken_cores_are_detected(name: str) -> None:
+    make, faults = BROKEN_CORES[name]
+    assert is_consistent(Core, faults)
+    assert not is_consistent(make, faults)
 
 
-def test_baselines_remove_what_ours_does_not() -> None:
+def test_baselines_remove_members_that_ours_keeps() -> None:
     faults = [fault("loss", 5, 40.0, share=0.3), fault("pause", 10, 5.0, nodes=("n01",))]
-    wrong = {}
+    removal_counts = {}
     for make in (ours, baselines.heartbeats, baselines.swim):
         world = World(NAMES, faults, 1, make=make)
         world.run(50)
-        wrong[make.__name__] = sum(told.view and told.what != "alive" for told in world.told)
-    assert wrong["ours"] == 0 and wrong["heartbeats"] > 0 and wrong["swim"] > 0
+        removal_counts[make.__name__] = sum(change.view and change.what != "alive" for change in world.told)
+    assert removal_counts["ours"] == 0 and removal_counts["heartbeats"] > 0 and removal_counts["swim"] > 0
 
 
 @given(st.binary(max_size=200))
-def test_garbage_is_no_message(data: bytes) -> None:
+def test_arbitrary_bytes_decode_to_a_message_or_none(data: bytes) -> None:
     assert decode(data) is None or isinstance(decode(data), Message)
 
 
 @settings(max_examples=50)
 @given(st.integers(0, 2**32), st.lists(st.integers(0, 20), max_size=6))
-def test_unknown_fields_kinds_and_other_fleets_are_passed_over(kind: int, more: list[int]) -> None:
+def test_unknown_fields_and_kinds_and_other_fleets_are_ignored(kind: int, extra_fields: list[int]) -> None:
     import msgspec
 
     core = Core("a", "10.0.0.1:1", "fleet", [], Random(1), 0.0)
     item = Item("b", 1, 5, 0, State.ALIVE, "10.0.0.2:1")
     message = Message(VERSION + 1, "fleet", kind % 2**31, "b", 1, 5, 0, 1, items=[item])
-    told = msgspec.msgpack.decode(encode(message))
-    again = decode(msgspec.msgpack.encode([*told, *more]))
-    assert again == message
-    core.on_message(0.1, "10.0.0.2:1", again)
+    fields = msgspec.msgpack.decode(encode(message))
+    decoded = decode(msgspec.msgpack.encode([*fields, *extra_fields]))
+    assert decoded == message
+    core.on_message(0.1, "10.0.0.2:1", decoded)
     assert core.members == ["a", "b"]
     core.on_message(0.1, "10.0.0.3:1", Message(1, "other", Kind.PING, "c", 1, 5, 0, 1, items=[item]))
     assert core.counters.dropped == 1 and "c" not in core.members
 
 
-def test_links_and_timelines_are_as_stated() -> None:
+def test_link_faults_apply_as_configured_and_bad_faults_are_rejected() -> None:
     weather = Weather([fault("cut", 1, 1, source=("a",), target=("b",)), fault("large", 0, 9, bytes=100)])
-    chance = Random(1)
-    assert weather.passes(1.5, "a", "b", 10, chance) == [] and weather.passes(1.5, "b", "a", 10, chance)
-    assert weather.carries(0.5, "a", "b", 101, chance) is None and weather.passes(2.0, "a", "b", 10, chance)
+    rng = Random(1)
+    assert weather.passes(1.5, "a", "b", 10, rng) == [] and weather.passes(1.5, "b", "a", 10, rng)
+    assert weather.carries(0.5, "a", "b", 101, rng) is None and weather.passes(2.0, "a", "b", 10, rng)
     assert "no node" in (check([fault("kill", 1, nodes=("x",))], NAMES) or "")
     assert "lasts" in (check([fault("pause", 1, nodes=("n01",))], NAMES) or "")
--- a/thornladder/membership/count.py
+++ b/thornladder/membership/count.py
@@ -14,7 +14,7 @@
     """Estimate of the number of nodes, from the view of a membership core."""
 
     def __init__(self, configured: int, hold: float, lower_after: float) -> None:
-        """`configured`: from the settings; a lower bound until the member has joined and while it is isolated.
+        """`configured`: from the settings; a lower bound before joining and while isolated.
 
         `hold`, `lower_after`: seconds, see `FleetConfig`.
         """
