--- a/thornladder/membership/companion.py
+++ b/thornladder/membership/companion.py
@@ -63,14 +63,17 @@
         self.transport: Transport | None = None
 
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
+        """`/members`, see `members`."""
         return {"/members": ExtensionEndpoint(b"GET", self.members)}
 
     def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
+        """Returns both unchanged."""
         return handler, shed_policy
 
     def start(self, context: NodeContext) -> None:
+        """Starts the member as a background task of the node."""
         self.context, self.log = context, context.log
         self.fleet_size = FleetSize(context.configured_nodes, self.config.hold, self.config.lower_after)
         self.scope = anyio.CancelScope()
--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -3,10 +3,10 @@
 Each probe interval a member pings one other: alternately its successor on a hash ring and the next of the
 others in shuffled order. A ping that is not acknowledged in time is repeated over three paths at once: a
 ping without piggybacked items, a connection, and pings relayed by other members (SWIM's indirect probes).
-Only when all of them fail does the member report the target as SILENT or REFUSED. A change of state needs
-the reports of two witnesses: ENDED follows at once from two refused connections, LOST from silence that
-outlasts the suspicion timeout. The subject of a report refutes it by raising its round (SWIM's incarnation
-number); a member that still hears the subject vouches for it.
+The member reports the target as REFUSED when its kernel refuses the connection, and as SILENT when all paths
+fail. A change of state needs the reports of two witnesses: ENDED follows at once from two refusals, LOST from
+silence that outlasts the suspicion timeout. The subject of a report refutes it by raising its round (SWIM's
+incarnation number); a member that still hears the subject vouches for it.
 
 All times inside the core are on an adjusted clock that stands still while this process was paused or starved
 of CPU, so that no timeout of another member expires meanwhile. docs/membership.md compares the approach with
@@ -45,7 +45,7 @@
     suspicion_timeout: float = 6.0  # from the first report of silence to LOST, with three witnesses
     two_witness_delay: float = 1.0  # added to the suspicion timeout with only two witnesses
     pause_threshold: float = 0.15  # a wake-up later than this means this process was paused or starved of CPU
-    max_catch_up: float = 1.0  # longest time after a pause during which nobody is reported
+    max_catch_up: float = 1.0  # longest time after a pause during which nobody is reported as silent
     isolation_timeout: float = 2.0  # without any reply, after which this member takes itself to be cut off
     rejoin_interval: float = 1.0  # between attempts to reach a LOST member or a seed outside the view
     sync_interval: float = 1.0  # between exchanges of whole views
@@ -143,6 +143,7 @@
 
     @property
     def alive(self) -> bool:
+        """Whether it is in the view, even if there are reports against it."""
         return self.item.state == State.ALIVE
 
 
@@ -227,9 +228,9 @@
         self.last_number = self.last_stamp = self.health_score = 0
         self.next_probe_at = now + self.timing.probe_interval * rng.random()
         self.next_rejoin_at = now
-        self.no_reports_until = now  # this member reports nobody before
+        self.no_reports_until = now  # this member reports nobody as silent before
         self.last_received_at = self.last_reply_at = now
-        self.connected_since = now  # since when replies arrive without isolation
+        self.connected_since = now  # end of the last isolation, or the start
         self.view_changed_at = now
         self.last_sync_at = NEVER
         self.joined = False  # whether it has received another member's whole view
@@ -268,7 +269,7 @@
         self._flush_gossip()
 
     def on_message(self, now: float, source: str, message: Message, by_connection: bool = False) -> None:
-        """`source`: the host:port that the message came from and that replies go to."""
+        """Takes a received message. `source`: the host:port that it came from and that replies go to."""
         self._advance_clock(now)
         if message.fleet != self.fleet or len(self.peers) >= MAX_PEERS:
             self.counters.dropped += 1
@@ -342,7 +343,7 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether nobody replies: then this member itself may be cut off, and it reports nobody."""
+        """Whether nobody replies. Then this member itself may be cut off, and it reports nobody as silent."""
         return len(self.ring) > 1 and self.now - self.last_reply_at > self.timing.isolation_timeout
 
     @property
@@ -362,6 +363,7 @@
     # Timers.
 
     def _advance_clock(self, now: float) -> None:
+        """Sets `self.now`. A wake-up that is overdue by more than the threshold counts as a pause."""
         late = now - self.next_wake_at
         if late > self.timing.pause_threshold:
             # The timeouts that expired during the pause must not make this member report all others.
@@ -489,9 +491,9 @@
         return Item(item.name, item.start, item.birth, item.round, state, by=self.name, stamp=self.last_stamp)
 
     def _expire_suspicions(self) -> None:
-        """Declares LOST whom two witnesses report as silent for long enough and a last probe failed to reach.
+        """Declares a suspect LOST when reports of two witnesses outlast the timeout and a last probe fails.
 
-        The last probe keeps a member whose refutation of the reports is still on its way.
+        The last probe protects a member whose refutation of the reports is still on its way.
         """
         if not self._can_judge_others():
             return
@@ -514,8 +516,8 @@
             )
             if verified and self.now >= expires_at:
                 self._set_state(peer, State.LOST)
-            near_expiry = peer.lost_reported_by or self.now >= expires_at - self.timing.probe_timeout
-            if near_expiry and not verified and len(self.probes) < MAX_VERIFYING_PROBES:
+            needs_probe = peer.lost_reported_by or self.now >= expires_at - self.timing.probe_timeout
+            if needs_probe and not verified and len(self.probes) < MAX_VERIFYING_PROBES:
                 self._verify(name)
 
     def _set_state(self, peer: Peer, state: State, witnesses: str = "") -> None:
@@ -576,6 +578,7 @@
                 self._request_sync(partner.item.address)
 
     def _note_alive(self, peer: Peer) -> None:
+        """Takes evidence that a member is alive, which withdraws this member's own report."""
         peer.last_evidence_at = self.now
         peer.lost_reported_by = ""
         if peer.reports:
@@ -588,7 +591,10 @@
             self.actions.append(Sync(address))
 
     def _notify_subject(self, peer: Peer, address: str, state: Item | None = None) -> None:
-        """Sends a process the reports about itself, to be refuted, or the newer process that replaced it."""
+        """Sends a process the reports about itself, to be refuted, or the newer process that replaced it.
+
+        `state`: sent in place of the state that this member holds.
+        """
         if self.now - peer.last_notified_at > NOTIFY_INTERVAL_SECONDS:
             peer.last_notified_at = self.now
             reports = [self._report_item(peer, by, state) for by, state in peer.reports.items()]
@@ -685,6 +691,7 @@
             self._merge_item(item)
 
     def _on_item_about_self(self, item: Item, unconfirmed: bool = False) -> None:
+        """Refutes a report or a state of this member that is not true."""
         own_process = (self.start, self.birth)
         if self.left:
             return
@@ -792,16 +799,13 @@
         One of them is the member heard last, since a partition may hide most of the others. The subject
         gets the report too.
         """
-        candidates = [
-            candidate for candidate in self.peers.values() if candidate.alive and not candidate.reports
-        ]
+        candidates = [other for other in self.peers.values() if other.alive and not other.reports]
         recipients = self.rng.sample(candidates, min(len(candidates), GOSSIP_FANOUT - 1)) + [peer]
         if (
             candidates
-            and (heard_last := max(candidates, key=lambda candidate: candidate.last_heard_at))
-            not in recipients
+            and (latest := max(candidates, key=lambda other: other.last_heard_at)) not in recipients
         ):
-            recipients.append(heard_last)
+            recipients.append(latest)
         for recipient in recipients:
             self._send(recipient.item.address, Kind.REPORT, items=[item])
 
@@ -860,7 +864,7 @@
 
     def _enqueue_gossip(self, item: Item) -> None:
         if not self.joined and item.name != self.name:
-            return  # to a joining member everything is new, to the others nothing of it
+            return  # everything is new to a joining member, but not to the others
         sends = 2 + math.ceil(math.log2(len(self.ring) + 2))
         self.gossip_queue[(item.name, item.by if item.state in REPORT_STATES else "")] = [item, sends]
         self.fresh_items.append(item)
--- a/thornladder/membership/explore.py
+++ b/thornladder/membership/explore.py
@@ -67,16 +67,8 @@
                 for probe in core.probes.values()
             )
             no_reports_for = round(max(core.no_reports_until - core.now, 0.0), 2)
-            parts.append(
-                (
-                    name,
-                    core.own_item.order,
-                    peers,
-                    probes,
-                    no_reports_for,
-                    round(core.next_wake_at - self.now, 2),
-                )
-            )
+            parts.append((name, core.own_item.order, peers, probes, no_reports_for,
+                          round(core.next_wake_at - self.now, 2)))  # fmt: skip
         in_flight = tuple(
             (sent.target, sent.message.kind, sent.message.name, sent.message.number, sent.message.items)
             for sent in self.flying
