--- a/thornladder/interface.py
+++ b/thornladder/interface.py
@@ -126,7 +126,7 @@
     offerings: list[Offering]
     tenants: list[Tenant]
     over_share_worth: float  # part of the utility that a tenant's invocations beyond its share earn
-    utility_by_work: bool
+    utility_by_work: bool  # utilities are per unit of work, not per invocation
     limits: Limits
     cold: SlowStartRule
     must_ask_in: float  # seconds within which a node has to ask for the list; 0 where changes are pushed
