--- a/thornladder/exploration.py
+++ b/thornladder/exploration.py
@@ -1,4 +1,4 @@
-"""Breadth-first exploration of everything that can happen to something, up to a depth. No I/O."""
+"""Bounded model checking: breadth-first search of all states within a number of steps. No I/O."""
 
 from __future__ import annotations
 
@@ -8,72 +8,77 @@
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 
-class Spot(Protocol):
-    """A state, which can be pickled."""
+class SearchState(Protocol):
+    """A state of the system under test. It must be picklable."""
 
     def key(self) -> Hashable:
-        """What tells states apart."""
+        """Identity of the state: states with equal keys are searched once."""
 
 
-AnySpot = TypeVar("AnySpot", bound=Spot)
+StateT = TypeVar("StateT", bound=SearchState)
 
 
 class Result(NamedTuple):
+    """Outcome of a search; `breach` names a violated invariant and `steps` lead to it."""
+
     states: int
-    depth: int  # finished whole
+    depth: int  # deepest level that was searched completely
     seconds: float
-    breach: str  # "" where there is none
+    breach: str  # "" if no invariant was violated
     steps: tuple[str, ...] = ()
 
 
 def breadth_first(
-    start: AnySpot, choices: Callable[[AnySpot], Sequence[str]], take: Callable[[AnySpot, str], str],
-    depth: int, most: int,
+    initial: StateT, choices: Callable[[StateT], Sequence[str]], apply_step: Callable[[StateT, str], str],
+    max_depth: int, max_states: int,
 ) -> Result:  # fmt: skip
-    """All states that `depth` steps lead to, or the first `most` of them.
+    """Searches all states within `max_depth` steps; stops soon after `max_states` states.
 
-    `take` carries a choice out in place and returns what is broken after it, "" where nothing is.
+    `choices` returns the steps that are possible in a state. `apply_step` carries a step out in place and
+    returns the invariant that is violated after it, or "". The search ends at the first violation.
     """
-    began = time.perf_counter()
-    seen = {hash(start.key())}
-    layer: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(start), ())]
-    done = 0
-    for _ in range(depth):
-        following: list[tuple[bytes, tuple[str, ...]]] = []
-        for held, steps in layer:
-            for choice in choices(pickle.loads(held)):
-                spot = pickle.loads(held)
-                if breach := take(spot, choice):
-                    return Result(len(seen), done, time.perf_counter() - began, breach, (*steps, choice))
-                key = hash(spot.key())
+    started_at = time.perf_counter()
+    seen = {hash(initial.key())}
+    frontier: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(initial), ())]
+    completed_depth = 0
+    for _ in range(max_depth):
+        next_frontier: list[tuple[bytes, tuple[str, ...]]] = []
+        for pickled, steps in frontier:
+            for step in choices(pickle.loads(pickled)):
+                state = pickle.loads(pickled)
+                if breach := apply_step(state, step):
+                    return Result(
+                        len(seen), completed_depth, time.perf_counter() - started_at, breach, (*steps, step)
+                    )
+                key = hash(state.key())
                 if key not in seen:
                     seen.add(key)
-                    following.append((pickle.dumps(spot), (*steps, choice)))
-            if len(seen) >= most:
-                return Result(len(seen), done, time.perf_counter() - began, "")
-        layer, done = following, done + 1
-    return Result(len(seen), done, time.perf_counter() - began, "")
-
-
-class Disturbed(Protocol):
-    """A state with messages on their way and processes that can be stopped."""
-
-    flying: list[Any]
-    copies: int  # that may still be made
-    pauses: int  # that may still begin
-    stopped: str  # who is; "" where nobody
-
-
-def disturb(spot: Disturbed, what: str, which: str) -> bool:
-    """Carries out what befalls messages and processes whatever they say; whether `what` was such a thing."""
-    if what == "lose":
-        del spot.flying[int(which)]
-    elif what == "copy":
-        spot.copies -= 1
-        spot.flying.append(spot.flying[int(which)])
-    elif what == "stop":
-        spot.pauses -= 1
-        spot.stopped = which
+                    next_frontier.append((pickle.dumps(state), (*steps, step)))
+            if len(seen) >= max_states:
+                return Result(len(seen), completed_depth, time.perf_counter() - started_at, "")
+        frontier, completed_depth = next_frontier, completed_depth + 1
+    return Result(len(seen), completed_depth, time.perf_counter() - started_at, "")
+
+
+class FaultableState(Protocol):
+    """A state with messages in flight and processes that can be paused."""
+
+    in_flight: list[Any]
+    duplicates_left: int  # messages that may still be duplicated
+    pauses_left: int  # pauses that may still begin
+    stopped: str  # name of the paused process, "" if none is
+
+
+def inject_fault(state: FaultableState, kind: str, argument: str) -> bool:
+    """Loses or duplicates a message, or pauses a process. Returns False if `kind` is no such fault."""
+    if kind == "lose":
+        del state.in_flight[int(argument)]
+    elif kind == "copy":
+        state.duplicates_left -= 1
+        state.in_flight.append(state.in_flight[int(argument)])
+    elif kind == "stop":
+        state.pauses_left -= 1
+        state.stopped = argument
     else:
         return False
     return True
--- a/thornladder/membership/explore.py
+++ b/thornladder/membership/explore.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thornladder.exploration import Result, breadth_first, disturb
+from thornladder.exploration import Result, breadth_first, inject_fault
 from thornladder.membership.core import ConnectionOutcome, ConnectionProbe, Core, Send, Sync, Timing
 from thornladder.membership.wire import Message, State
 
@@ -36,15 +36,15 @@
 class FleetState:
     """State of the three members, of the messages in flight and of the faults still allowed.
 
-    The names of `flying`, `copies`, `pauses` and `stopped` are those that `exploration.disturb` expects.
+    Has the attributes of `exploration.FaultableState`, which `inject_fault` changes.
     """
 
     now: float = 0.0
     cores: dict[str, Any] = field(default_factory=dict)  # None: not running
     stopped: str = ""
-    flying: list[InFlight] = field(default_factory=list)
-    copies: int = 1  # still allowed, like the next two
-    pauses: int = 1
+    in_flight: list[InFlight] = field(default_factory=list)
+    duplicates_left: int = 1  # still allowed, like the next two
+    pauses_left: int = 1
     kills: int = 1
     starts: int = 0  # so far
     # Newest process that one member (first name) has known of another.
@@ -71,9 +71,11 @@
                           round(core.next_wake_at - self.now, 2)))  # fmt: skip
         in_flight = tuple(
             (sent.target, sent.message.kind, sent.message.name, sent.message.number, sent.message.items)
-            for sent in self.flying
+            for sent in self.in_flight
+        )
+        return repr(
+            (parts, self.stopped, in_flight, self.duplicates_left, self.pauses_left, self.kills, self.starts)
         )
-        return repr((parts, self.stopped, in_flight, self.copies, self.pauses, self.kills, self.starts))
 
 
 def address(name: str) -> str:
@@ -97,13 +99,13 @@
 def choices(fleet: FleetState) -> list[str]:
     """The steps that are possible in this state."""
     steps = ["wake"]
-    for index in range(min(len(fleet.flying), DELIVERY_CHOICES)):
+    for index in range(min(len(fleet.in_flight), DELIVERY_CHOICES)):
         steps += [f"deliver {index}", f"lose {index}"]
-        if fleet.copies:
+        if fleet.duplicates_left:
             steps.append(f"copy {index}")
     if fleet.stopped:
         steps.append("go")
-    elif fleet.pauses:
+    elif fleet.pauses_left:
         steps += [f"stop {name}" for name in NAMES[1:] if fleet.cores[name] is not None]
     if fleet.kills:
         steps += [f"kill {name}" for name in NAMES[1:] if fleet.cores[name] is not None]
@@ -120,14 +122,14 @@
         fleet.now = max(fleet.now, next_core.next_wake_at)
         return _run_core(fleet, next_core, next_core.wake, fleet.now)
     if kind == "deliver":
-        sent = fleet.flying[int(argument)]
+        sent = fleet.in_flight[int(argument)]
         core = fleet.cores[sent.target]
         if sent.target == fleet.stopped:
-            fleet.flying.append(fleet.flying.pop(int(argument)))  # waits until the process goes on
+            fleet.in_flight.append(fleet.in_flight.pop(int(argument)))  # waits until the process goes on
             return ""
-        del fleet.flying[int(argument)]
+        del fleet.in_flight[int(argument)]
         return _run_core(fleet, core, core.on_message, fleet.now, sent.source, sent.message) if core else ""
-    if disturb(fleet, kind, argument):
+    if inject_fault(fleet, kind, argument):
         return ""
     if kind == "go":
         fleet.now += 1.0  # a pause outlasts all timeouts
@@ -170,8 +172,8 @@
     target = action.address.split(":")[0]
     other = fleet.cores.get(target)
     if isinstance(action, Send):
-        if len(fleet.flying) < MAX_IN_FLIGHT:
-            fleet.flying.append(InFlight(target, address(core.name), action.message))
+        if len(fleet.in_flight) < MAX_IN_FLIGHT:
+            fleet.in_flight.append(InFlight(target, address(core.name), action.message))
     elif isinstance(action, ConnectionProbe):
         if other is None:
             core.on_connection_outcome(fleet.now, action.message.number, ConnectionOutcome.REFUSED)
@@ -181,9 +183,9 @@
     elif isinstance(action, Sync) and other is not None and target != fleet.stopped and other is not core:
         view = core.view_message()
         reply = other.reply_to(view)
-        if len(fleet.flying) < MAX_IN_FLIGHT - 1:
-            fleet.flying.append(InFlight(target, address(core.name), view))
-            fleet.flying.append(InFlight(core.name, address(target), reply))
+        if len(fleet.in_flight) < MAX_IN_FLIGHT - 1:
+            fleet.in_flight.append(InFlight(target, address(core.name), view))
+            fleet.in_flight.append(InFlight(core.name, address(target), reply))
 
 
 def broken_invariant(fleet: FleetState) -> str:
--- a/thornladder/shares/explore.py
+++ b/thornladder/shares/explore.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thornladder.exploration import Result, breadth_first, disturb
+from thornladder.exploration import Result, breadth_first, inject_fault
 from thornladder.shares.core import Budget, Core, Times
 from thornladder.shares.wire import Message
 
@@ -35,11 +35,11 @@
 class Spot:
     now: float = 0.0
     cores: dict[str, Any] = field(default_factory=dict)  # None: no process
-    flying: list[Flying] = field(default_factory=list)
+    in_flight: list[Flying] = field(default_factory=list)
     dead: list[tuple[float, int]] = field(default_factory=list)  # until when, units in use
     stopped: str = ""
-    copies: int = 1
-    pauses: int = 1
+    duplicates_left: int = 1
+    pauses_left: int = 1
     kills: int = 1
     jumps: int = 2
     wishes: int = 2
@@ -73,10 +73,10 @@
                 )
             )
         flying = [(f.target, f.birth, f.message.kind, f.message.term, f.message.seq, f.message.parts,
-                   f.message.cans, round(f.message.echo - self.now, 2)) for f in self.flying]  # fmt: skip
+                   f.message.cans, round(f.message.echo - self.now, 2)) for f in self.in_flight]  # fmt: skip
         dead = [(round(until - self.now, 2), used) for until, used in self.dead]
-        return repr((parts, flying, dead, self.stopped, self.copies, self.pauses, self.kills, self.jumps,
-                     self.wishes))  # fmt: skip
+        return repr((parts, flying, dead, self.stopped, self.duplicates_left, self.pauses_left, self.kills,
+                     self.jumps, self.wishes))  # fmt: skip
 
 
 def _start(spot: Spot, name: str, make: Make) -> None:
@@ -91,7 +91,7 @@
         _start(spot, name, make)
     for _ in range(400):
         take(spot, "wake " + min(NAMES, key=lambda name: spot.cores[name].due), make)
-        while spot.flying:
+        while spot.in_flight:
             take(spot, "deliver 0", make)
         if sum(core.holdings[0].part for core in spot.cores.values()) == spot.cores["a"].rest[0]:
             return spot
@@ -109,13 +109,13 @@
                 can.append(f"want {name}")
             if spot.kills:
                 can.append(f"kill {name}")
-            if spot.pauses and not spot.stopped:
+            if spot.pauses_left and not spot.stopped:
                 can.append(f"stop {name}")
     if spot.stopped:
         can.append("go")
-    for k in range(min(len(spot.flying), NEXT)):
+    for k in range(min(len(spot.in_flight), NEXT)):
         can += [f"deliver {k}", f"lose {k}"]
-        if spot.copies:
+        if spot.duplicates_left:
             can.append(f"copy {k}")
     if spot.jumps:
         can += [f"jump {seconds}" for seconds in JUMPS]
@@ -131,15 +131,15 @@
         core.wake(spot.now)
         _send(spot, core)
     elif what == "deliver":
-        each = spot.flying.pop(int(which))
+        each = spot.in_flight.pop(int(which))
         core = spot.cores[each.target]
         if core is not None and core.birth == each.birth:
             if each.target == spot.stopped:
-                spot.flying.append(each)
+                spot.in_flight.append(each)
                 return ""
             core.on_message(spot.now, each.message)
             _send(spot, core)
-    elif disturb(spot, what, which):
+    elif inject_fault(spot, what, which):
         pass
     elif what == "go":
         spot.stopped = ""
@@ -173,8 +173,8 @@
             core.on_message(spot.now, act.message)
             acts += core.take_acts()
         elif target is not None:
-            spot.flying.append(Flying(act.name, target.birth, act.message))
-    del spot.flying[: max(len(spot.flying) - MOST_FLYING, 0)]
+            spot.in_flight.append(Flying(act.name, target.birth, act.message))
+    del spot.in_flight[: max(len(spot.in_flight) - MOST_FLYING, 0)]
 
 
 def _spend(spot: Spot) -> None:
@@ -209,7 +209,7 @@
 def walk(seed: int, steps: int = 400, make: Make = Core) -> str:
     """One drawn course, far deeper than can be gone through: what broke."""
     chance, spot = Random(seed), begin(make)
-    spot.copies = spot.pauses = spot.kills = spot.jumps = spot.wishes = 20
+    spot.duplicates_left = spot.pauses_left = spot.kills = spot.jumps = spot.wishes = 20
     for _ in range(steps):
         can = choices(spot)
         weights = [LIKELY[each.partition(" ")[0]] for each in can]
