--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -201,16 +201,21 @@
         self._dispatch_for(exchange, self.node.on_client_gone, exchange.invocation.id)
 
     def push_ended(
-        self, exchange: Exchange, number: int, outcome: Outcome, sent: float, answer: ClientResponse | None
+        self,
+        exchange: Exchange,
+        number: int,
+        outcome: Outcome,
+        started_at: float,
+        answer: ClientResponse | None,
     ) -> None:
         """Delivers the response, if there is one, and tells the module the outcome.
 
-        `number`: of the push within its invocation; `sent`: when it was started, by the host's clock.
+        `number`: of the push within its invocation; `started_at`: by the host's clock.
         """
         exchange.pending_pushes -= 1
         if answer is not None:
             self._deliver(exchange, answer)
-        duration = self.clock() - sent
+        duration = self.clock() - started_at
         id = exchange.invocation.id
         self._dispatch_for(
             exchange, self.node.on_push_ended, id, number, outcome, duration, exchange.finished
