--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -217,12 +217,12 @@
 
 
 def answer(*entries: Entry, kind: ListKind = ListKind.SNAPSHOT) -> DiscoveryResponse:
-    return DiscoveryResponse(1, kind, list(entries), {item.backend: ("127.0.0.1", 1) for item in entries})
+    return DiscoveryResponse(1, kind, list(entries), {line.backend: ("127.0.0.1", 1) for line in entries})
 
 
 def test_maintenance_marks_take_precedence_over_discovery() -> None:
     maintenance = Maintenance({"a": MaintenanceMark(True, 50.0)})
-    assert [item.state for item in maintenance.apply(answer(entry("a"), entry("b")), 60.0).entries] == [
+    assert [line.state for line in maintenance.apply(answer(entry("a"), entry("b")), 60.0).entries] == [
         State.DRAINING, State.RUNNING,
     ]  # fmt: skip
     assert maintenance.apply(answer(entry("b")), 61.0).entries == [entry("b")]  # it left the list while out
@@ -230,8 +230,8 @@
     [entered] = maintenance.apply(answer(entry("a", started=59.0), kind=ListKind.DELTA), 62.0).entries
     assert entered.state is State.DRAINING
     assert maintenance.update({"a": MaintenanceMark(False, 49.0)}) is None  # an older call
-    news = maintenance.update({"a": MaintenanceMark(False, 70.0)})
-    assert [(item.state, item.started_at) for item in news.entries] == [(State.RUNNING, 70.0)]
+    changes = maintenance.update({"a": MaintenanceMark(False, 70.0)})
+    assert [(line.state, line.started_at) for line in changes.entries] == [(State.RUNNING, 70.0)]
     [later] = maintenance.apply(answer(entry("a", started=80.0), kind=ListKind.DELTA), 81.0).entries
     assert later.started_at == 80.0
     [older] = maintenance.apply(answer(entry("a", started=59.0), kind=ListKind.DELTA), 82.0).entries
@@ -266,7 +266,7 @@
     assert first_store.load() == {}
     StateFile(str(tmp_path), "n/1", "maintenance").write({"marks": [{"id": "a", "out": 3}, 4]})
     assert first_store.load() == {}
-    assert not [item for item in tmp_path.iterdir() if item.suffix.isdigit()]
+    assert not [path for path in tmp_path.iterdir() if path.suffix.isdigit()]
 
 
 @pytest.mark.parametrize(
