--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -175,7 +175,7 @@
     """Totals since the start of the process."""
 
     dropped: int = 0  # messages of another fleet, or beyond MAX_PEERS
-    reports_made: int = 0  # made by this member about others
+    reports_made: int = 0  # by this member about others
     refutations: int = 0
     pauses: int = 0  # of this process, including starvation of CPU
     view_changes: int = 0
