--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Budgets divided among nodes: the pure core, in virtual time and under drawn courses of steps."""
+"""Fleet-wide budgets: the core by itself, in simulations with faults, and under model checking."""
 
 from __future__ import annotations
 
@@ -11,82 +11,103 @@
 from thornladder.measures.schedules import draw
 from thornladder.rig.faults import Fault
 from thornladder.shares import explore
-from thornladder.shares.core import DRIFT, Budget, Core, Slices, divide, floors
-from thornladder.shares.virtual import World
+from thornladder.shares.core import (
+    MAX_CLOCK_DRIFT,
+    Budget,
+    Core,
+    UsageCounter,
+    floor_allocations,
+    max_min_fair,
+)
+from thornladder.shares.virtual import Simulation
 
 
 @given(st.lists(st.floats(0.0, 0.7), max_size=60), st.floats(0.1, 3.0))
-def test_units_count_for_a_whole_hold_and_not_much_longer(gaps: list[float], hold: float) -> None:
-    slices, now, spent = Slices(hold), 0.0, []
+def test_units_count_for_the_whole_window_and_not_much_longer(gaps: list[float], window: float) -> None:
+    counter, now, spend_times = UsageCounter(window), 0.0, []
     for gap in gaps:
         now += gap
-        least = sum(now - at < hold for at in spent)
-        most = sum(now - at < hold * 1.01 + 1e-6 for at in spent)
-        assert least <= slices.look(now) <= most
-        slices.add(now)
-        spent.append(now)
+        lower = sum(now - at < window for at in spend_times)
+        upper = sum(now - at < window * 1.01 + 1e-6 for at in spend_times)
+        assert lower <= counter.read(now) <= upper
+        counter.add(now)
+        spend_times.append(now)
 
 
 @given(st.integers(0, 500), st.lists(st.integers(0, 300), min_size=1, max_size=20))
-def test_a_division_is_the_whole_and_even_where_it_is_short(whole: int, wants: list[int]) -> None:
-    parts = divide(whole, {(f"n{k:02}", k): want for k, want in enumerate(wants)})
-    assert sum(parts.values()) == whole
-    short = [parts[f"n{k:02}", k] for k, want in enumerate(wants) if parts[f"n{k:02}", k] < want]
-    assert not short or max(parts.values()) <= min(short) + 1
-
-
-@pytest.mark.parametrize(("whole", "count"), [(0, 16), (3, 16), (100, 3), (7, 1), (5000, 400)])
-def test_floors_are_a_part_of_the_whole(whole: int, count: int) -> None:
-    budget = Budget("x", whole, 1.0)
-    dealt = floors(budget, [f"n{k}" for k in range(count)])
-    assert sum(dealt.values()) == int(whole * budget.floor) and max(dealt.values()) - min(dealt.values()) <= 1
-
-
-def test_a_process_alone_has_nothing_but_its_floor_and_that_only_after_a_hold() -> None:
+def test_division_is_complete_and_even_among_unsatisfied_demands(total: int, demands: list[int]) -> None:
+    allocations = max_min_fair(total, {(f"n{k:02}", k): demand for k, demand in enumerate(demands)})
+    assert sum(allocations.values()) == total
+    unsatisfied = [
+        allocations[f"n{k:02}", k] for k, demand in enumerate(demands) if allocations[f"n{k:02}", k] < demand
+    ]
+    assert not unsatisfied or max(allocations.values()) <= min(unsatisfied) + 1
+
+
+@pytest.mark.parametrize(("limit", "count"), [(0, 16), (3, 16), (100, 3), (7, 1), (5000, 400)])
+def test_floors_are_even_and_add_up_to_their_fraction_of_the_limit(limit: int, count: int) -> None:
+    budget = Budget("x", limit, 1.0)
+    floors = floor_allocations(budget, [f"n{k}" for k in range(count)])
+    assert (
+        sum(floors.values()) == int(limit * budget.floor_fraction)
+        and max(floors.values()) - min(floors.values()) <= 1
+    )
+
+
+def test_isolated_process_has_only_its_floor_and_that_after_one_window() -> None:
     core = Core("a", ["a", "b", "c"], [Budget("x", 12, 1.0)], Random(1), 100.0)
-    assert not core.may_spend(0, 100.5)
-    assert [core.may_spend(0, 102.0) for _ in range(3)] == [True, False, False]
+    assert not core.try_spend(0, 100.5)
+    assert [core.try_spend(0, 102.0) for _ in range(3)] == [True, False, False]
 
 
-def played(count: int, seed: int) -> World:
+def simulate_random_faults(count: int, seed: int) -> Simulation:
+    """Runs `count` nodes under a random schedule of faults, with demand for twice the limit."""
     names = [f"n{k:02}" for k in range(count)]
     schedule = draw(names, seed)
-    whole, hold = (3, 40, 400)[seed // 3 % 3], (0.5, 1.0, 5.0)[seed % 3]
-    world = World(names, Budget("x", whole, hold), schedule.faults, seed,
-                  demand=lambda name, now: 2.0 * whole / hold / count)  # fmt: skip
-    world.run(schedule.healed + 10.0)
-    return world
+    limit, window = (3, 40, 400)[seed // 3 % 3], (0.5, 1.0, 5.0)[seed % 3]
+    simulation = Simulation(names, Budget("x", limit, window), schedule.faults, seed,
+                            demand=lambda name, now: 2.0 * limit / window / count)  # fmt: skip
+    simulation.run(schedule.healed + 10.0)
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_more_than_the_whole_is_spent_whatever_fails(seed: int) -> None:
-    world = played(5, seed)
-    assert world.breaches == [] and 0 < world.most <= world.budget.whole
+def test_limit_is_never_exceeded_under_faults(seed: int) -> None:
+    simulation = simulate_random_faults(5, seed)
+    assert simulation.breaches == [] and 0 < simulation.max_in_window <= simulation.budget.limit
 
 
-def test_the_whole_is_used_in_calm_and_soon_after_the_giver_died() -> None:
+def test_limit_is_well_used_without_faults_and_soon_after_the_leader_died() -> None:
     names = [f"n{k}" for k in range(8)]
     budget = Budget("x", 400, 1.0)
 
     def demand(name: str, now: float) -> float:
         return 400.0 if name == "n1" else 100.0
 
-    world = World(names, budget, [], 1, demand)
-    world.run(20.0)
-    assert world.giver and world.used(10, 20) >= 0.9
-    world = World(names, budget, [Fault(kind="kill", at=20.0, nodes=(world.giver,))], 1, demand)
-    world.run(40.0)
-    assert world.used(23, 26) >= 0.7 and world.used(30, 40) >= 0.85 and not world.breaches
-
-
-def test_clocks_differ_by_less_than_is_allowed_for() -> None:
-    rates = [place.rate for place in World(["a", "b", "c"], Budget("x", 3, 1.0), [], 1).places.values()]
-    assert max(rates) / min(rates) < 1.0 + DRIFT
-
-
-def test_drawn_courses_break_nothing_and_each_planted_fault_is_caught() -> None:
-    assert [seed for seed in range(60) if explore.walk(seed)] == []
+    simulation = Simulation(names, budget, [], 1, demand)
+    simulation.run(20.0)
+    assert simulation.leader and simulation.utilization(10, 20) >= 0.9
+    simulation = Simulation(
+        names, budget, [Fault(kind="kill", at=20.0, nodes=(simulation.leader,))], 1, demand
+    )
+    simulation.run(40.0)
+    assert (
+        simulation.utilization(23, 26) >= 0.7
+        and simulation.utilization(30, 40) >= 0.85
+        and not simulation.breaches
+    )
+
+
+def test_simulated_clocks_stay_within_the_maximum_drift() -> None:
+    rates = [
+        node.clock_rate for node in Simulation(["a", "b", "c"], Budget("x", 3, 1.0), [], 1).nodes.values()
+    ]
+    assert max(rates) / min(rates) < 1.0 + MAX_CLOCK_DRIFT
+
+
+def test_random_walks_and_search_find_no_breach_and_each_planted_fault() -> None:
+    assert [seed for seed in range(60) if explore.random_walk(seed)] == []
     assert explore.explore(10, 800).breach == ""
-    seeds = {"RaisesEarly": 2, "SpendsAfterPause": 56, "OldGrants": 834}
-    for planted in explore.PLANTED:
-        assert explore.walk(seeds.get(planted.__name__, 0), make=planted), planted.__name__
+    seeds = {"RaisesEarly": 2, "SpendsAfterPause": 56, "AcceptsOldGrants": 834}
+    for planted in explore.PLANTED_FAULTS:
+        assert explore.random_walk(seeds.get(planted.__name__, 0), make=planted), planted.__name__
--- a/thornladder/measures/budgets.py
+++ b/thornladder/measures/budgets.py
@@ -16,7 +16,7 @@
 from thornladder.rig.faults import Fault
 from thornladder.shares import explore
 from thornladder.shares.core import Budget, Core
-from thornladder.shares.virtual import World
+from thornladder.shares.virtual import Simulation
 
 WHOLE, HOLD = 800, 1.0
 
@@ -31,10 +31,10 @@
     names = [f"n{k:03}" for k in range(count)]
     schedule = draw(names, seed)
     budget = Budget("x", (3, 40, 400)[seed // 3 % 3], (0.5, 1.0, 5.0)[seed % 3])
-    world = World(names, budget, schedule.faults, seed,
-                  demand=lambda name, now: 2.0 * budget.whole / budget.hold / count)  # fmt: skip
+    world = Simulation(names, budget, schedule.faults, seed,
+                       demand=lambda name, now: 2.0 * budget.limit / budget.window / count)  # fmt: skip
     world.run(schedule.healed + 10.0)
-    return Scheduled(next(iter(world.breaches), ""), world.most / budget.whole)
+    return Scheduled(next(iter(world.breaches), ""), world.max_in_window / budget.limit)
 
 
 def skewed(name: str, now: float) -> float:
@@ -51,30 +51,32 @@
     """Share of the whole that was spent, and seconds that a death of the giver or of another cost."""
     names, budget = [f"n{k}" for k in range(8)], Budget("x", WHOLE, HOLD)
     demand = moving if kind == "moving" else skewed
-    first = World(names, budget, [], seed, demand)
+    first = Simulation(names, budget, [], seed, demand)
     first.run(19.0)
-    dies = first.giver if kind == "giver killed" else next(name for name in names if name != first.giver)
+    dies = first.leader if kind == "giver killed" else next(name for name in names if name != first.leader)
     killed = Fault(kind="kill", at=20.0, nodes=(dies,))
     absent = [Fault(kind="kill", at=1.0, nodes=(dies,)), Fault(kind="start", at=20.0, nodes=(dies,))]
     faults = {"killed": [killed], "giver killed": [killed], "joined": absent,
               "loss": [Fault(kind="loss", at=15.0, lasts=60.0, share=0.1)]}.get(kind, [])  # fmt: skip
-    world = World(names, budget, faults, seed, demand)
+    world = Simulation(names, budget, faults, seed, demand)
     world.run(80.0)
     since, until = {"killed": (23, 43), "giver killed": (23, 43), "joined": (23, 43)}.get(kind, (20, 75))
-    before = world.used(12, 20)
-    back = next((second for second in range(20, 78) if world.used(second, second + 2) >= 0.95 * before), 80)
-    return world.used(since, until), back - 20.0
+    before = world.utilization(12, 20)
+    back = next(
+        (second for second in range(20, 78) if world.utilization(second, second + 2) >= 0.95 * before), 80
+    )
+    return world.utilization(since, until), back - 20.0
 
 
 def spend_cost(rounds: int = 5, many: int = 100_000) -> tuple[float, float]:
     """Nanoseconds of a spend, and of a local count of the same window."""
     core = Core("a", ["a"], [Budget("x", 10 * many, 1.0)], Random(1), 0.0)
-    core.lease_end, core.holdings[0].part = 1e9, 10 * many
-    local = core.holdings[0].own
+    core.lease_expires_at, core.local_budgets[0].allocation = 1e9, 10 * many
+    local = core.local_budgets[0].floor_usage
     took: tuple[list[float], list[float]] = ([], [])
     for _ in range(rounds):
-        for place, spend in ((0, lambda now: core.may_spend(0, now)),
-                             (1, lambda now: local.look(now) < many and local.add(now))):  # fmt: skip
+        for place, spend in ((0, lambda now: core.try_spend(0, now)),
+                             (1, lambda now: local.read(now) < many and local.add(now))):  # fmt: skip
             began = time.process_time()
             for number in range(many):
                 spend(100.0 + number * 1e-5)
@@ -102,10 +104,10 @@
             points.at_least(f"use of the whole, {kind}", min(each[0] for each in done), least, "0-4",
                             back=[each[1] for each in done])  # fmt: skip
         walks = 5000 if given.full else 1000
-        broken = [each for each in pool.map(explore.walk, range(walks), chunksize=20) if each]
+        broken = [each for each in pool.map(explore.random_walk, range(walks), chunksize=20) if each]
         points.at_most(f"{walks} drawn courses of 400 steps: breaches", len(broken), 0, f"0-{walks - 1}")
-        for planted in explore.PLANTED:
-            found = next((seed for seed in range(3000) if explore.walk(seed, make=planted)), None)
+        for planted in explore.PLANTED_FAULTS:
+            found = next((seed for seed in range(3000) if explore.random_walk(seed, make=planted)), None)
             points.at_least(f"planted {planted.__name__}: caught", int(found is not None), 1, f"0-{found}")
     result = explore.explore(12, 100_000 if given.full else 30_000)
     points.at_most("exploration of three processes: breaches", 1 if result.breach else 0, 0, [],
--- a/thornladder/shares/__init__.py
+++ b/thornladder/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets of the whole fleet, divided among its nodes and divided anew as they come and go."""
+"""Fleet-wide budgets, divided among the nodes and divided again as nodes join and leave."""
--- a/thornladder/shares/core.py
+++ b/thornladder/shares/core.py
@@ -1,13 +1,16 @@
-"""What one node may spend of the fleet's budgets without asking, and who divides them. No I/O.
-
-One giver at a time: more than half of the written list has promised it a short term. It grants each process a
-part on a lease that the process counts from its own question, so a late answer only shortens it. A unit that
-is spent counts until its hold is over, and is not spent if its lease might end before; so nothing outlives a
-lease. A part is raised only by what others have told they gave up, or by leases that are surely over. A new
-giver knows what those hold that it has heard; the rest it lets stand until every old lease is over.
-
-Each node has a floor besides, by the written list alone: all floors and all leased parts are the whole.
-Clocks are only compared with themselves; two of them differ in rate by DRIFT at most.
+"""Lease-based division of fleet-wide budgets: what one node may spend, and the leader that divides. No I/O.
+
+At most one leader is in office: more than half of the configured nodes have promised it a short term. It
+grants each process an allocation under a lease. The process counts the lease from when it sent the report
+that the grant answers, so a late grant only shortens it. A spent unit counts until its window is over, and no
+unit is spent whose window might outlast the lease; so nothing is in use after a lease. An allocation is raised
+only by units that other processes have reported as given up, or whose leases have certainly expired. A new
+leader knows the allocations of the processes that have reported to it; it leaves the remaining units alone
+until every earlier lease has expired.
+
+In addition each node has a floor that follows from the configured list alone. All floors and all leased
+allocations add up to the limit. Timestamps are only compared with those of the same clock; the rates of two
+clocks differ by MAX_CLOCK_DRIFT at most.
 """
 
 from __future__ import annotations
@@ -21,348 +24,382 @@
 
 from thornladder.shares.wire import VERSION, Kind, Message
 
-DRIFT = 0.011  # by which the rates of two clocks may differ: one in a hundred, and what sums cost
-SLICES = 256  # of a hold: spends are counted by slice, with no record of single ones
+MAX_CLOCK_DRIFT = 0.011  # between the rates of two clocks: 1 %, and a margin for rounding
+SLOTS = 256  # of a window: spent units are counted by slot instead of being recorded one by one
 
 
-class Times(NamedTuple):
-    """Seconds."""
+class Timing(NamedTuple):
+    """Intervals of the protocol, in seconds."""
 
-    period: float = 0.25  # between the giver's questions
-    term: float = 1.5  # for which a promise holds: some six questions, so that losing a few changes nothing
-    slack: float = 4.0  # of a lease beyond the longest hold: a new giver is there before it is used up
-    heard: float = 1.5  # since a process was heard: it still has a claim in the division
-    smooth: float = 1.0  # over which demand is averaged
+    request_interval: float = 0.25  # between the leader's requests for promises
+    promise_duration: float = 1.5  # about six requests, so that losing a few changes nothing
+    lease_margin: float = 4.0  # of a lease beyond the longest window: time to elect the next leader
+    report_timeout: float = 1.5  # after its last report a process has no demand in the division
+    demand_smoothing: float = 1.0  # time constant of the exponentially weighted demand
 
 
 class Budget(NamedTuple):
-    """`whole` units at once for the fleet; a spent one counts for `hold` seconds (a rate's window)."""
+    """At most `limit` units in use across the fleet; a spent unit counts for `window` seconds."""
 
     name: str
-    whole: int
-    hold: float
-    floor: float = 0.25  # share of the whole that is dealt out to the written list for good
+    limit: int
+    window: float
+    floor_fraction: float = 0.25  # of the limit, divided among the configured nodes permanently
 
 
-def floors(budget: Budget, names: Sequence[str]) -> dict[str, int]:
-    """Units that are each name's for ever; the odd ones go by a hash of budget and name."""
-    units = math.floor(budget.floor * budget.whole)
-    each, odd = divmod(units, len(names))
+def floor_allocations(budget: Budget, names: Sequence[str]) -> dict[str, int]:
+    """Units that each node always has; a hash of the two names decides who gets the remainder."""
+    units = math.floor(budget.floor_fraction * budget.limit)
+    quotient, remainder = divmod(units, len(names))
     order = sorted(names, key=lambda name: (zlib.crc32(f"{budget.name} {name}".encode()), name))
-    return {name: each + (place < odd) for place, name in enumerate(order)}
+    return {name: quotient + (rank < remainder) for rank, name in enumerate(order)}
 
 
 class Send(NamedTuple):
-    name: str
+    """An action: send `message` to the node `target`."""
+
+    target: str
     message: Message
 
 
-class Slices:
-    """Units in use, each for a hold from when it was spent; counted, not listed."""
+class UsageCounter:
+    """Units in use, each for a window from when it was spent, in constant memory."""
 
-    def __init__(self, hold: float) -> None:
-        # A slice is let go once its last unit is over: never too early, a 255th of a hold too late.
-        self.width = hold / (SLICES - 1)
-        self.counts = [0] * (SLICES + 1)
-        self.now = 0
-        self.whole = 0
+    def __init__(self, window: float) -> None:
+        # A slot is cleared once its last unit has expired: never early, at most 1/255 of a window late.
+        self.slot_seconds = window / (SLOTS - 1)
+        self.counts = [0] * (SLOTS + 1)
+        self.newest = 0
+        self.sum = 0
 
-    def look(self, now: float) -> int:
-        slice = math.floor(now / self.width)
-        if slice > self.now:
-            for step in range(self.now + 1, min(slice, self.now + len(self.counts)) + 1):
-                place = step % len(self.counts)
-                self.whole -= self.counts[place]
-                self.counts[place] = 0
-            self.now = slice
-        return self.whole
+    def read(self, now: float) -> int:
+        """Units in use at `now`; slots that have left the window are cleared."""
+        slot = math.floor(now / self.slot_seconds)
+        if slot > self.newest:
+            for expired in range(self.newest + 1, min(slot, self.newest + len(self.counts)) + 1):
+                index = expired % len(self.counts)
+                self.sum -= self.counts[index]
+                self.counts[index] = 0
+            self.newest = slot
+        return self.sum
 
     def add(self, now: float) -> None:
-        self.look(now)
-        self.counts[self.now % len(self.counts)] += 1
-        self.whole += 1
-
-
-class Holding:
-    """One budget at one process."""
-
-    def __init__(self, budget: Budget, floor: int) -> None:
-        self.budget, self.floor = budget, floor
-        self.hold = budget.hold * (1.0 + DRIFT)
-        self.part = 0
-        self.leased, self.own = Slices(self.hold), Slices(self.hold)
-        self.asked = 0.0  # a second, smoothed
-        self.since = 0.0  # of that
-        self.count = 0  # asked since
-
-    def want(self, now: float, smooth: float) -> int:
-        """Units that this process could use."""
-        passed = now - self.since
-        if passed > 0.05:
-            part = math.exp(-passed / smooth)
-            self.asked = part * self.asked + (1.0 - part) * self.count / passed
-            self.since, self.count = now, 0
-        return math.ceil(self.asked * self.hold - 1e-6)
+        """Counts one unit spent at `now`."""
+        self.read(now)
+        self.counts[self.newest % len(self.counts)] += 1
+        self.sum += 1
+
+
+class LocalBudget:
+    """Allocation, usage and demand of one budget at one process."""
+
+    def __init__(self, budget: Budget, floor_units: int) -> None:
+        self.budget, self.floor_units = budget, floor_units
+        self.local_window = budget.window * (1.0 + MAX_CLOCK_DRIFT)  # covers the window on any clock
+        self.allocation = 0
+        self.leased_usage, self.floor_usage = UsageCounter(self.local_window), UsageCounter(self.local_window)
+        self.demand_rate = 0.0  # units per second, smoothed
+        self.demand_updated_at = 0.0
+        self.recent_requests = 0  # since then
+
+    def demand(self, now: float, smoothing: float) -> int:
+        """Units that this process could use; `smoothing` is the time constant in seconds."""
+        elapsed = now - self.demand_updated_at
+        if elapsed > 0.05:
+            weight = math.exp(-elapsed / smoothing)
+            self.demand_rate = weight * self.demand_rate + (1.0 - weight) * self.recent_requests / elapsed
+            self.demand_updated_at, self.recent_requests = now, 0
+        return math.ceil(self.demand_rate * self.local_window - 1e-6)
 
 
 @dataclass(slots=True)
-class Entry:
-    """A grant that may be in force."""
+class Grant:
+    """A grant that may be in force, as the leader records it."""
 
     seq: int
-    parts: list[int]
-    ends: float  # by the giver's clock, surely
+    units: list[int]  # per budget
+    expires_at: float  # latest possible end of the lease by the leader's clock
 
 
 @dataclass(slots=True)
-class Account:
-    """What the giver knows of one process."""
+class ProcessRecord:
+    """What the leader knows of one process."""
 
-    entries: list[Entry]
-    wants: list[int]
-    heard: float
-    asked_at: float  # its own clock, of its last report
-    seq: int = 0
+    grants: list[Grant]
+    demands: list[int]  # per budget
+    heard_at: float
+    reported_at: float  # of its last report, by its own clock
+    last_seq: int = 0
 
-    def owed(self, place: int, now: float) -> int:
-        return max((entry.parts[place] for entry in self.entries if entry.ends >= now), default=0)
+    def outstanding(self, index: int, now: float) -> int:
+        """Most units of the budget that the process may hold under any grant."""
+        return max((grant.units[index] for grant in self.grants if grant.expires_at >= now), default=0)
 
 
 @dataclass(slots=True)
-class Reign:
-    """Of a giver."""
+class Leadership:
+    """State of a candidate, and of a leader once a quorum has promised."""
 
     term: int
-    since: float
-    began: float | None = None  # more than half promised
-    acks: dict[str, float] = field(default_factory=dict)  # when the question was sent that each last answered
-    accounts: dict[tuple[str, int], Account] = field(default_factory=dict)
-    limbo: list[int] = field(default_factory=list)  # units that those who were not heard may hold
-    settled: float = 0.0  # when all leases of earlier terms are surely over
+    started_at: float
+    elected_at: float | None = None  # None: still a candidate
+    acks: dict[str, float] = field(
+        default_factory=dict
+    )  # send time of the last request that each node answered
+    processes: dict[tuple[str, int], ProcessRecord] = field(default_factory=dict)
+    unreported: list[int] = field(default_factory=list)  # units that processes without a report may hold
+    earlier_leases_end: float = 0.0  # by then all leases of earlier terms have expired
 
 
 class Core:
+    """State machine of one process. Actions are collected for `take_actions`.
+
+    The caller passes the time, received messages and wake-ups. Budgets are addressed by index.
+    """
+
     def __init__(
-        self, name: str, names: Sequence[str], budgets: Sequence[Budget], chance: Random, now: float,
-        fleet: str = "fleet", times: Times | None = None,
+        self, name: str, names: Sequence[str], budgets: Sequence[Budget], rng: Random, now: float,
+        fleet: str = "fleet", timing: Timing | None = None,
     ) -> None:  # fmt: skip
-        """`names`: the written list. `now`: seconds of any steady clock."""
+        """`names`: the configured nodes, this one included. `now`: seconds of any steady clock."""
         self.name, self.names, self.budgets, self.fleet = name, sorted(names), list(budgets), fleet
-        self.chance, self.times = chance, times or Times()
-        self.birth = chance.getrandbits(32)
-        self.born = self.now = now
-        self.lease = max((each.hold for each in budgets), default=0.0) * (1.0 + DRIFT) + self.times.slack
-        dealt = [floors(each, self.names) for each in budgets]
-        self.holdings = [Holding(each, dealt[k][name]) for k, each in enumerate(budgets)]
-        self.rest = [each.whole - sum(dealt[k].values()) for k, each in enumerate(budgets)]
-        for holding in self.holdings:
-            holding.since = now
-        self.majority = len(self.names) // 2 + 1
-        self.promised: tuple[int, str] = (0, "")
-        self.promise_until = now
-        self.held: tuple[int, int] = (0, 0)  # term and number of the division that is in force here
-        self.lease_end = -math.inf
-        self.reign: Reign | None = None
-        self.heard_giver = now
-        self.highest = 0  # term seen
-        self.acts: list[Send] = []
-        self.next = now + self.times.period * chance.random()
-        self.patience = self._drawn()
+        self.rng, self.timing = rng, timing or Timing()
+        self.incarnation = rng.getrandbits(32)
+        self.started_at = self.now = now
+        self.lease_seconds = (
+            max((budget.window for budget in budgets), default=0.0) * (1.0 + MAX_CLOCK_DRIFT)
+            + self.timing.lease_margin
+        )
+        floors = [floor_allocations(budget, self.names) for budget in budgets]
+        self.local_budgets = [LocalBudget(budget, floors[k][name]) for k, budget in enumerate(budgets)]
+        self.leasable = [budget.limit - sum(floors[k].values()) for k, budget in enumerate(budgets)]
+        for local in self.local_budgets:
+            local.demand_updated_at = now
+        self.quorum = len(self.names) // 2 + 1
+        self.promise: tuple[int, str] = (0, "")  # term and name of the leader
+        self.promise_expires_at = now
+        self.applied_grant: tuple[int, int] = (0, 0)  # term and sequence number
+        self.lease_expires_at = -math.inf
+        self.leadership: Leadership | None = None
+        self.leader_heard_at = now
+        self.highest_term = 0
+        self.actions: list[Send] = []
+        self._next_wake_at = now + self.timing.request_interval * rng.random()
+        self.election_timeout = self._random_election_timeout()
 
     # Spending.
 
-    def may_spend(self, place: int, now: float) -> bool:
-        """Takes one unit of this budget, if there is one: from the leased part first, then from the floor."""
-        holding = self.holdings[place]
-        holding.count += 1
-        if now + holding.hold <= self.lease_end and holding.leased.look(now) < holding.part:
-            holding.leased.add(now)
+    def try_spend(self, index: int, now: float) -> bool:
+        """Takes one unit of the budget if there is one: of the leased allocation first, then of the floor."""
+        local = self.local_budgets[index]
+        local.recent_requests += 1
+        if (
+            now + local.local_window <= self.lease_expires_at
+            and local.leased_usage.read(now) < local.allocation
+        ):
+            local.leased_usage.add(now)
             return True
-        # A process that has just come does not know what the one before it spent.
-        if now >= self.born + holding.hold and holding.own.look(now) < holding.floor:
-            holding.own.add(now)
+        # A restarted process does not know how much of the floor its predecessor spent.
+        if now >= self.started_at + local.local_window and local.floor_usage.read(now) < local.floor_units:
+            local.floor_usage.add(now)
             return True
         return False
 
-    def can(self, place: int, now: float) -> int:
-        """Leased units that this process uses, or may use yet, at most."""
-        holding = self.holdings[place]
-        return max(holding.part if now < self.lease_end else 0, holding.leased.look(now))
+    def max_leased_units(self, index: int, now: float) -> int:
+        """Most leased units that this process uses or may still use."""
+        local = self.local_budgets[index]
+        return max(local.allocation if now < self.lease_expires_at else 0, local.leased_usage.read(now))
 
-    # What it is told.
+    # Events.
 
     @property
-    def due(self) -> float:
-        return self.next
+    def next_wake_at(self) -> float:
+        """When `wake` is due, by this process's clock."""
+        return self._next_wake_at
 
     def wake(self, now: float) -> None:
+        """Gives up or takes up a candidacy or leadership where that is due, and requests promises."""
         self.now = max(self.now, now)
-        if self.now < self.next:
+        if self.now < self._next_wake_at:
             return
-        self.next = self.now + self.times.period * (0.9 + 0.2 * self.chance.random())
-        if self.reign is not None:
-            if self.reign.began is not None and self.now >= self._authority():
-                self.reign = None  # paused, or cut off from more than half
-            elif self.reign.began is None and self.now > self.reign.since + self.times.term:
-                # Guards against two who stand at once, each kept up by its own promise to itself.
-                self.reign, self.heard_giver = None, self.now
-        if self.reign is None and self._may_stand():
-            self.highest += 1
-            self.reign = Reign(self.highest, self.now)
-            self.patience = self._drawn()
-        if self.reign is not None:
+        self._next_wake_at = self.now + self.timing.request_interval * (0.9 + 0.2 * self.rng.random())
+        if self.leadership is not None:
+            if self.leadership.elected_at is not None and self.now >= self._quorum_expires_at():
+                self.leadership = None  # this process was paused, or a quorum is out of reach
+            elif (
+                self.leadership.elected_at is None
+                and self.now > self.leadership.started_at + self.timing.promise_duration
+            ):
+                # Otherwise two candidates could block each other, each renewing its promise to itself.
+                self.leadership, self.leader_heard_at = None, self.now
+        if self.leadership is None and self._election_due():
+            self.highest_term += 1
+            self.leadership = Leadership(self.highest_term, self.now)
+            self.election_timeout = self._random_election_timeout()
+        if self.leadership is not None:
             for name in self.names:
-                self._say(name, Kind.ASK, self.reign.term)
+                self._send(name, Kind.PROMISE_REQUEST, self.leadership.term)
 
     def on_message(self, now: float, message: Message) -> None:
+        """Handles a received message; those of other fleets or of unknown nodes are ignored."""
         self.now = max(self.now, now)
         if message.fleet != self.fleet or message.name not in self.names or message.version < 1:
             return
-        self.highest = max(self.highest, message.term)
-        if message.kind == Kind.ASK:
-            self._asked(message)
-        elif message.kind == Kind.VOTE:
-            self._voted(message)
+        self.highest_term = max(self.highest_term, message.term)
+        if message.kind == Kind.PROMISE_REQUEST:
+            self._on_promise_request(message)
+        elif message.kind == Kind.PROMISE:
+            self._on_promise(message)
         elif message.kind == Kind.GRANT:
-            self._granted(message)
+            self._on_grant(message)
 
-    # As a voter and holder.
+    # As a voter and holder of a lease.
 
-    def _drawn(self) -> float:
-        return self.times.term * (1.1 + 0.9 * self.chance.random())
+    def _random_election_timeout(self) -> float:
+        return self.timing.promise_duration * (1.1 + 0.9 * self.rng.random())
 
-    def _grown(self) -> bool:
-        """Guards against a promise that an earlier process made and this one knows nothing of."""
-        return self.now >= self.born + self.times.term * (1.0 + DRIFT)
+    def _predecessor_promise_expired(self) -> bool:
+        """An earlier process of this node may have made a promise that this one knows nothing of."""
+        return self.now >= self.started_at + self.timing.promise_duration * (1.0 + MAX_CLOCK_DRIFT)
 
-    def _may_stand(self) -> bool:
-        return self._grown() and self.now > self.heard_giver + self.patience
+    def _election_due(self) -> bool:
+        return self._predecessor_promise_expired() and self.now > self.leader_heard_at + self.election_timeout
 
-    def _asked(self, message: Message) -> None:
-        asked = (message.term, message.name)
-        bound = self.now < self.promise_until and message.name != self.promised[1]
-        if not self._grown() or message.term < self.promised[0] or bound:
+    def _on_promise_request(self, message: Message) -> None:
+        requested = (message.term, message.name)
+        bound = self.now < self.promise_expires_at and message.name != self.promise[1]
+        if not self._predecessor_promise_expired() or message.term < self.promise[0] or bound:
             return
-        if message.term == self.promised[0] and asked != self.promised:
+        if message.term == self.promise[0] and requested != self.promise:
             return
-        self.promised = asked
-        self.promise_until = self.now + self.times.term * (1.0 + DRIFT)
-        self.heard_giver = self.now
+        self.promise = requested
+        self.promise_expires_at = self.now + self.timing.promise_duration * (1.0 + MAX_CLOCK_DRIFT)
+        self.leader_heard_at = self.now
         if message.name != self.name:
-            self.reign = None
-        places = range(len(self.budgets))
-        seq = self.held[1] if self.held[0] == message.term else 0
-        self._say(
-            message.name, Kind.VOTE, message.term, seq=seq, echo=message.at, to_birth=message.birth,
-            cans=[self.can(k, self.now) for k in places],
-            wants=[self.holdings[k].want(self.now, self.times.smooth) for k in places],
+            self.leadership = None
+        indexes = range(len(self.budgets))
+        seq = self.applied_grant[1] if self.applied_grant[0] == message.term else 0
+        self._send(
+            message.name, Kind.PROMISE, message.term, seq=seq, echo=message.at, to_birth=message.birth,
+            cans=[self.max_leased_units(k, self.now) for k in indexes],
+            wants=[self.local_budgets[k].demand(self.now, self.timing.demand_smoothing) for k in indexes],
         )  # fmt: skip
 
-    def _granted(self, message: Message) -> None:
-        if message.to_birth != self.birth or (message.term, message.name) != self.promised:
+    def _on_grant(self, message: Message) -> None:
+        if message.to_birth != self.incarnation or (message.term, message.name) != self.promise:
             return
-        if (message.term, message.seq) <= self.held or len(message.parts) != len(self.holdings):
-            return  # late, doubled, or out of order: what was given up stays given up
-        self.held = (message.term, message.seq)
-        self.lease_end = message.echo + self.lease
-        for holding, part in zip(self.holdings, message.parts, strict=True):
-            holding.part = part
-
-    # As the giver.
-
-    def _authority(self) -> float:
-        """Until when more than half have surely promised to no other."""
-        acks = sorted(self.reign.acks.values(), reverse=True)
-        return acks[self.majority - 1] + self.times.term if len(acks) >= self.majority else -math.inf
-
-    def _voted(self, message: Message) -> None:
-        reign = self.reign
-        if reign is None or message.term != reign.term or message.to_birth != self.birth:
+        if (message.term, message.seq) <= self.applied_grant or len(message.parts) != len(self.local_budgets):
+            return  # late, duplicated or reordered: units that were given up stay given up
+        self.applied_grant = (message.term, message.seq)
+        self.lease_expires_at = message.echo + self.lease_seconds
+        for local, allocation in zip(self.local_budgets, message.parts, strict=True):
+            local.allocation = allocation
+
+    # As a candidate and leader.
+
+    def _quorum_expires_at(self) -> float:
+        """Until when more than half of the nodes have certainly promised to no other leader."""
+        acks = sorted(self.leadership.acks.values(), reverse=True)
+        return acks[self.quorum - 1] + self.timing.promise_duration if len(acks) >= self.quorum else -math.inf
+
+    def _on_promise(self, message: Message) -> None:
+        leadership = self.leadership
+        if leadership is None or message.term != leadership.term or message.to_birth != self.incarnation:
             return
-        reign.acks[message.name] = max(reign.acks.get(message.name, -math.inf), message.echo)
-        self._report(message)
-        if reign.began is None and self.now < self._authority():
-            self._begin()
-        if reign.began is not None and self.now < self._authority():
-            self._grant(message)
-
-    def _surely(self) -> float:
-        """When a lease that begins no later than now is surely over, by this clock."""
-        return self.now + self.lease * (1.0 + DRIFT)
-
-    def _report(self, message: Message) -> None:
-        reign, key = self.reign, (message.name, message.birth)
-        account = reign.accounts.get(key)
-        if account is None:
-            entry = Entry(0, list(message.cans), self._surely())
-            reign.accounts[key] = Account([entry], list(message.wants), self.now, message.at)
-            if reign.began is not None and self.now < reign.settled:
-                reign.limbo = [max(a - b, 0) for a, b in zip(reign.limbo, message.cans, strict=True)]
+        leadership.acks[message.name] = max(leadership.acks.get(message.name, -math.inf), message.echo)
+        self._record_report(message)
+        if leadership.elected_at is None and self.now < self._quorum_expires_at():
+            self._on_elected()
+        if leadership.elected_at is not None and self.now < self._quorum_expires_at():
+            self._send_grant(message)
+
+    def _latest_lease_end(self) -> float:
+        """By when a lease that begins no later than now has certainly expired, by this clock."""
+        return self.now + self.lease_seconds * (1.0 + MAX_CLOCK_DRIFT)
+
+    def _record_report(self, message: Message) -> None:
+        leadership, key = self.leadership, (message.name, message.birth)
+        record = leadership.processes.get(key)
+        if record is None:
+            grant = Grant(0, list(message.cans), self._latest_lease_end())
+            leadership.processes[key] = ProcessRecord([grant], list(message.wants), self.now, message.at)
+            if leadership.elected_at is not None and self.now < leadership.earlier_leases_end:
+                leadership.unreported = [
+                    max(units - reported, 0)
+                    for units, reported in zip(leadership.unreported, message.cans, strict=True)
+                ]
             return
-        if message.at <= account.asked_at:
-            return  # an earlier report that came late
-        account.asked_at, account.heard, account.wants = message.at, self.now, list(message.wants)
-        kept = [entry for entry in account.entries if entry.seq >= message.seq and entry.ends >= self.now]
-        for entry in kept:
-            if entry.seq == message.seq:
-                entry.parts = list(message.cans)
-        if any(message.cans) and all(entry.seq != message.seq for entry in kept):
-            kept.append(Entry(message.seq, list(message.cans), self._surely()))
-        account.entries = kept
-
-    def _begin(self) -> None:
-        reign = self.reign
-        reign.began, reign.settled = self.now, self._surely()
-        reign.limbo = [
-            max(rest - sum(account.owed(k, self.now) for account in reign.accounts.values()), 0)
-            for k, rest in enumerate(self.rest)
+        if message.at <= record.reported_at:
+            return  # an earlier report that arrived late
+        record.reported_at, record.heard_at, record.demands = message.at, self.now, list(message.wants)
+        in_force = [
+            grant for grant in record.grants if grant.seq >= message.seq and grant.expires_at >= self.now
+        ]
+        for grant in in_force:
+            if grant.seq == message.seq:
+                grant.units = list(message.cans)
+        if any(message.cans) and all(grant.seq != message.seq for grant in in_force):
+            in_force.append(Grant(message.seq, list(message.cans), self._latest_lease_end()))
+        record.grants = in_force
+
+    def _on_elected(self) -> None:
+        leadership = self.leadership
+        leadership.elected_at, leadership.earlier_leases_end = self.now, self._latest_lease_end()
+        leadership.unreported = [
+            max(units - sum(record.outstanding(k, self.now) for record in leadership.processes.values()), 0)
+            for k, units in enumerate(self.leasable)
         ]
 
-    def free(self, place: int) -> int:
-        """Units that nobody holds or may hold."""
-        reign = self.reign
-        owed = sum(account.owed(place, self.now) for account in reign.accounts.values())
-        return self.rest[place] - owed - (reign.limbo[place] if self.now < reign.settled else 0)
-
-    def _grant(self, message: Message) -> None:
-        reign = self.reign
-        account = reign.accounts[(message.name, message.birth)]
-        parts = []
-        for place in range(len(self.budgets)):
-            target = self._target(place, (message.name, message.birth))
-            owed = account.owed(place, self.now)
-            parts.append(max(min(target, owed + max(self.free(place), 0)), 0))
-        account.seq += 1
-        account.entries.append(Entry(account.seq, parts, self._surely()))
-        self._say(message.name, Kind.GRANT, reign.term, seq=account.seq, echo=message.at,
-                  to_birth=message.birth, parts=parts)  # fmt: skip
-
-    def _target(self, place: int, key: tuple[str, int]) -> int:
-        """Its part if all was free: wants are filled evenly, what is left over is dealt out evenly."""
-        lately = self.now - self.times.heard
-        wants = {each: account.wants[place] for each, account in self.reign.accounts.items()
-                 if account.heard >= lately}  # fmt: skip
-        return divide(self.rest[place], wants).get(key, 0)
-
-    def _say(self, name: str, kind: Kind, term: int, **fields: object) -> None:
-        message = Message(VERSION, self.fleet, kind, self.name, self.birth, term, self.now, **fields)
-        self.acts.append(Send(name, message))
-
-    def take_acts(self) -> list[Send]:
-        acts, self.acts = self.acts, []
-        return acts
-
-
-def divide(whole: int, wants: dict[tuple[str, int], int]) -> dict[tuple[str, int], int]:
-    """Everyone gets what it wants up to one level; what nobody wants is dealt out evenly. Sums to `whole`."""
-    parts: dict[tuple[str, int], int] = {}
-    left, rest = whole, sorted(wants, key=lambda key: (wants[key], key))
-    for place, key in enumerate(rest):
-        level = left // (len(rest) - place)
-        parts[key] = min(wants[key], level)
-        left -= parts[key]
-    even, odd = divmod(left, len(rest)) if rest else (0, 0)
-    # The odd ones to those that want most, so that a whole of 3 for 16 nodes is where it is used.
-    for place, key in enumerate(reversed(rest)):
-        parts[key] += even + (place < odd)
-    return parts
+    def unallocated(self, index: int) -> int:
+        """Units of the budget that no process holds or may hold."""
+        leadership = self.leadership
+        outstanding = sum(record.outstanding(index, self.now) for record in leadership.processes.values())
+        return (
+            self.leasable[index]
+            - outstanding
+            - (leadership.unreported[index] if self.now < leadership.earlier_leases_end else 0)
+        )
+
+    def _send_grant(self, message: Message) -> None:
+        leadership = self.leadership
+        record = leadership.processes[(message.name, message.birth)]
+        allocations = []
+        for index in range(len(self.budgets)):
+            target = self._target_allocation(index, (message.name, message.birth))
+            outstanding = record.outstanding(index, self.now)
+            allocations.append(max(min(target, outstanding + max(self.unallocated(index), 0)), 0))
+        record.last_seq += 1
+        record.grants.append(Grant(record.last_seq, allocations, self._latest_lease_end()))
+        self._send(message.name, Kind.GRANT, leadership.term, seq=record.last_seq, echo=message.at,
+                   to_birth=message.birth, parts=allocations)  # fmt: skip
+
+    def _target_allocation(self, index: int, key: tuple[str, int]) -> int:
+        """The process's allocation if all leasable units were free."""
+        reported_since = self.now - self.timing.report_timeout
+        demands = {process: record.demands[index] for process, record in self.leadership.processes.items()
+                   if record.heard_at >= reported_since}  # fmt: skip
+        return max_min_fair(self.leasable[index], demands).get(key, 0)
+
+    def _send(self, target: str, kind: Kind, term: int, **fields: object) -> None:
+        message = Message(VERSION, self.fleet, kind, self.name, self.incarnation, term, self.now, **fields)
+        self.actions.append(Send(target, message))
+
+    def take_actions(self) -> list[Send]:
+        """Returns the actions collected since the last call and clears them."""
+        actions, self.actions = self.actions, []
+        return actions
+
+
+def max_min_fair(total: int, demands: dict[tuple[str, int], int]) -> dict[tuple[str, int], int]:
+    """Max-min fair allocation; what exceeds all demands is divided evenly. The result adds up to `total`."""
+    allocations: dict[tuple[str, int], int] = {}
+    left, ascending = total, sorted(demands, key=lambda key: (demands[key], key))
+    for rank, key in enumerate(ascending):
+        level = left // (len(ascending) - rank)
+        allocations[key] = min(demands[key], level)
+        left -= allocations[key]
+    quotient, remainder = divmod(left, len(ascending)) if ascending else (0, 0)
+    # The remainder goes to the highest demands, so that 3 units for 16 nodes are where they are used.
+    for rank, key in enumerate(reversed(ascending)):
+        allocations[key] += quotient + (rank < remainder)
+    return allocations
--- a/thornladder/shares/explore.py
+++ b/thornladder/shares/explore.py
@@ -1,7 +1,8 @@
-"""Bounded exhaustive exploration of the division: three processes, every order of what can happen to them.
+"""Bounded model checking of the division: three processes, all orders of the events that may affect them.
 
-The cores' own code runs, not a copy. It begins where a giver rules and all hold a part. Time passes in wakes,
-and in jumps during which nobody runs; each node spends all it can at any moment.
+It runs the core itself, not a model of it. The search begins with an elected leader and every leasable unit
+allocated. Time passes when a core wakes, and in jumps during which no process runs. Every node spends all
+that it can after each step.
 """
 
 from __future__ import annotations
@@ -12,272 +13,303 @@
 from typing import Any, NamedTuple
 
 from thornladder.exploration import Result, breadth_first, inject_fault
-from thornladder.shares.core import Budget, Core, Times
+from thornladder.shares.core import Budget, Core, Timing
 from thornladder.shares.wire import Message
 
 NAMES = ("a", "b", "c")
 BUDGET = Budget("x", 12, 0.5, 0.25)
-SHORT = Times(period=0.25, term=0.5, slack=1.0, heard=0.6)
-JUMPS = (0.3, 2.0)  # past a promise; past every lease
-MOST_FLYING = 4  # the oldest are lost beyond that, as in a full queue
-NEXT = 3  # messages in flight that may come next
+# Short times, so that promises and leases expire within the depth that can be searched.
+SHORT_TIMING = Timing(request_interval=0.25, promise_duration=0.5, lease_margin=1.0, report_timeout=0.6)
+JUMP_SECONDS = (0.3, 2.0)  # past a promise; past every lease
+MAX_IN_FLIGHT = 4  # beyond that the oldest messages are lost, as in a full queue
+DELIVERY_CHOICES = 3  # oldest messages in flight that may come next
 
-Make = Callable[..., Core]
+CoreFactory = Callable[..., Core]
 
 
-class Flying(NamedTuple):
+class InFlight(NamedTuple):
+    """A message that is sent and not delivered yet."""
+
     target: str
-    birth: int  # the process that ran there then: a new one has another address
+    incarnation: int  # process that ran at the target when it was sent; a new one has another address
     message: Message
 
 
 @dataclass
-class Spot:
+class FleetState:
+    """State of the three processes, of the messages in flight and of the faults that are still allowed."""
+
     now: float = 0.0
-    cores: dict[str, Any] = field(default_factory=dict)  # None: no process
-    in_flight: list[Flying] = field(default_factory=list)
-    dead: list[tuple[float, int]] = field(default_factory=list)  # until when, units in use
-    stopped: str = ""
+    cores: dict[str, Any] = field(default_factory=dict)  # None: not running
+    in_flight: list[InFlight] = field(default_factory=list)
+    dead_usage: list[tuple[float, int]] = field(default_factory=list)  # end of the window, units in use
+    stopped: str = ""  # name of the paused process
     duplicates_left: int = 1
     pauses_left: int = 1
-    kills: int = 1
-    jumps: int = 2
-    wishes: int = 2
+    kills_left: int = 1
+    jumps_left: int = 2
+    demand_changes_left: int = 2
 
     def key(self) -> str:
-        """What tells states apart, with times as they lie to now."""
+        """Identity of a state, with times relative to now."""
         parts = []
         for name, core in self.cores.items():
             if core is None:
                 parts.append((name, None))
                 continue
-            reign = core.reign
-            rule = reign and (
-                reign.term, reign.began is not None, sorted((n, round(at - self.now, 2))
-                                                            for n, at in reign.acks.items()),
-                sorted((key, [(e.seq, e.parts, round(e.ends - self.now, 2)) for e in each.entries])
-                       for key, each in reign.accounts.items()), reign.limbo,
+            leadership = core.leadership
+            leader_key = leadership and (
+                leadership.term, leadership.elected_at is not None,
+                sorted((n, round(at - self.now, 2)) for n, at in leadership.acks.items()),
+                sorted((key, [(g.seq, g.units, round(g.expires_at - self.now, 2)) for g in record.grants])
+                       for key, record in leadership.processes.items()), leadership.unreported,
             )  # fmt: skip
             parts.append(
                 (
                     name,
-                    core.birth,
-                    core.promised,
-                    core.held,
-                    core.holdings[0].part,
-                    core.holdings[0].leased.look(self.now),
-                    round(core.lease_end - self.now, 2),
-                    round(core.promise_until - self.now, 2),
-                    round(core.due - self.now, 2),
-                    rule,
+                    core.incarnation,
+                    core.promise,
+                    core.applied_grant,
+                    core.local_budgets[0].allocation,
+                    core.local_budgets[0].leased_usage.read(self.now),
+                    round(core.lease_expires_at - self.now, 2),
+                    round(core.promise_expires_at - self.now, 2),
+                    round(core.next_wake_at - self.now, 2),
+                    leader_key,
                 )
             )
-        flying = [(f.target, f.birth, f.message.kind, f.message.term, f.message.seq, f.message.parts,
-                   f.message.cans, round(f.message.echo - self.now, 2)) for f in self.in_flight]  # fmt: skip
-        dead = [(round(until - self.now, 2), used) for until, used in self.dead]
-        return repr((parts, flying, dead, self.stopped, self.duplicates_left, self.pauses_left, self.kills,
-                     self.jumps, self.wishes))  # fmt: skip
+        in_flight = [(sent.target, sent.incarnation, sent.message.kind, sent.message.term, sent.message.seq,
+                      sent.message.parts, sent.message.cans, round(sent.message.echo - self.now, 2))
+                     for sent in self.in_flight]  # fmt: skip
+        dead_usage = [(round(until - self.now, 2), in_use) for until, in_use in self.dead_usage]
+        return repr((parts, in_flight, dead_usage, self.stopped, self.duplicates_left, self.pauses_left,
+                     self.kills_left, self.jumps_left, self.demand_changes_left))  # fmt: skip
 
 
-def _start(spot: Spot, name: str, make: Make) -> None:
-    chance = Random(f"{name} {spot.now:.3f}")
-    spot.cores[name] = make(name, NAMES, [BUDGET], chance, spot.now, times=SHORT)
+def _start_process(state: FleetState, name: str, make: CoreFactory) -> None:
+    rng = Random(f"{name} {state.now:.3f}")
+    state.cores[name] = make(name, NAMES, [BUDGET], rng, state.now, timing=SHORT_TIMING)
 
 
-def begin(make: Make = Core) -> Spot:
-    """A giver rules, and all that is leased is held."""
-    spot = Spot()
+def initial_state(make: CoreFactory = Core) -> FleetState:
+    """A fleet with an elected leader that has allocated all leasable units.
+
+    Raises AssertionError if no leader gets there.
+    """
+    state = FleetState()
     for name in NAMES:
-        _start(spot, name, make)
+        _start_process(state, name, make)
     for _ in range(400):
-        take(spot, "wake " + min(NAMES, key=lambda name: spot.cores[name].due), make)
-        while spot.in_flight:
-            take(spot, "deliver 0", make)
-        if sum(core.holdings[0].part for core in spot.cores.values()) == spot.cores["a"].rest[0]:
-            return spot
-    raise AssertionError("no giver came to rule")
-
-
-def choices(spot: Spot) -> list[str]:
-    can = []
-    for name, core in spot.cores.items():
+        apply_step(state, "wake " + min(NAMES, key=lambda name: state.cores[name].next_wake_at), make)
+        while state.in_flight:
+            apply_step(state, "deliver 0", make)
+        if (
+            sum(core.local_budgets[0].allocation for core in state.cores.values())
+            == state.cores["a"].leasable[0]
+        ):
+            return state
+    raise AssertionError("no leader was elected that allocated all units")
+
+
+def choices(state: FleetState) -> list[str]:
+    """The steps that are possible in this state."""
+    steps = []
+    for name, core in state.cores.items():
         if core is None:
-            can.append(f"start {name}")
-        elif name != spot.stopped:
-            can.append(f"wake {name}")
-            if spot.wishes:
-                can.append(f"want {name}")
-            if spot.kills:
-                can.append(f"kill {name}")
-            if spot.pauses_left and not spot.stopped:
-                can.append(f"stop {name}")
-    if spot.stopped:
-        can.append("go")
-    for k in range(min(len(spot.in_flight), NEXT)):
-        can += [f"deliver {k}", f"lose {k}"]
-        if spot.duplicates_left:
-            can.append(f"copy {k}")
-    if spot.jumps:
-        can += [f"jump {seconds}" for seconds in JUMPS]
-    return can
-
-
-def take(spot: Spot, choice: str, make: Make = Core) -> str:
-    """Does it, in place; what is broken after it, if anything is."""
-    what, _, which = choice.partition(" ")
-    if what == "wake":
-        core = spot.cores[which]
-        spot.now = max(spot.now, core.due)
-        core.wake(spot.now)
-        _send(spot, core)
-    elif what == "deliver":
-        each = spot.in_flight.pop(int(which))
-        core = spot.cores[each.target]
-        if core is not None and core.birth == each.birth:
-            if each.target == spot.stopped:
-                spot.in_flight.append(each)
+            steps.append(f"start {name}")
+        elif name != state.stopped:
+            steps.append(f"wake {name}")
+            if state.demand_changes_left:
+                steps.append(f"want {name}")
+            if state.kills_left:
+                steps.append(f"kill {name}")
+            if state.pauses_left and not state.stopped:
+                steps.append(f"stop {name}")
+    if state.stopped:
+        steps.append("go")
+    for k in range(min(len(state.in_flight), DELIVERY_CHOICES)):
+        steps += [f"deliver {k}", f"lose {k}"]
+        if state.duplicates_left:
+            steps.append(f"copy {k}")
+    if state.jumps_left:
+        steps += [f"jump {seconds}" for seconds in JUMP_SECONDS]
+    return steps
+
+
+def apply_step(state: FleetState, step: str, make: CoreFactory = Core) -> str:
+    """Carries out a step in place. Returns the invariant that is broken after it, or ""."""
+    kind, _, argument = step.partition(" ")
+    if kind == "wake":
+        core = state.cores[argument]
+        state.now = max(state.now, core.next_wake_at)
+        core.wake(state.now)
+        _send_messages(state, core)
+    elif kind == "deliver":
+        sent = state.in_flight.pop(int(argument))
+        core = state.cores[sent.target]
+        if core is not None and core.incarnation == sent.incarnation:
+            if sent.target == state.stopped:
+                state.in_flight.append(sent)
                 return ""
-            core.on_message(spot.now, each.message)
-            _send(spot, core)
-    elif inject_fault(spot, what, which):
+            core.on_message(state.now, sent.message)
+            _send_messages(state, core)
+    elif inject_fault(state, kind, argument):
         pass
-    elif what == "go":
-        spot.stopped = ""
-    elif what == "want":
-        spot.wishes -= 1
-        for name, core in spot.cores.items():
+    elif kind == "go":
+        state.stopped = ""
+    elif kind == "want":
+        state.demand_changes_left -= 1
+        for name, core in state.cores.items():
             if core is not None:
-                core.holdings[0].asked, core.holdings[0].since = 50.0 * (name == which), spot.now
-                core.holdings[0].count = 0
-    elif what == "kill":
-        spot.kills -= 1
-        used = spot.cores[which].holdings[0].leased.look(spot.now)
-        spot.dead.append((spot.now + BUDGET.hold, used))
-        spot.cores[which] = None
-        spot.stopped = "" if spot.stopped == which else spot.stopped
-    elif what == "start":
-        _start(spot, which, make)
+                core.local_budgets[0].demand_rate, core.local_budgets[0].demand_updated_at = (
+                    50.0 * (name == argument),
+                    state.now,
+                )
+                core.local_budgets[0].recent_requests = 0
+    elif kind == "kill":
+        state.kills_left -= 1
+        in_use = state.cores[argument].local_budgets[0].leased_usage.read(state.now)
+        state.dead_usage.append((state.now + BUDGET.window, in_use))
+        state.cores[argument] = None
+        state.stopped = "" if state.stopped == argument else state.stopped
+    elif kind == "start":
+        _start_process(state, argument, make)
     else:
-        spot.jumps -= 1
-        spot.now += float(which)
-    _spend(spot)
-    return broken(spot)
+        state.jumps_left -= 1
+        state.now += float(argument)
+    _spend_all(state)
+    return broken_invariant(state)
 
 
-def _send(spot: Spot, core: Core) -> None:
-    acts = core.take_acts()
-    while acts:
-        act = acts.pop(0)
-        target = spot.cores.get(act.name)
+def _send_messages(state: FleetState, core: Core) -> None:
+    actions = core.take_actions()
+    while actions:
+        action = actions.pop(0)
+        target = state.cores.get(action.target)
         if target is core:
-            core.on_message(spot.now, act.message)
-            acts += core.take_acts()
+            core.on_message(state.now, action.message)
+            actions += core.take_actions()
         elif target is not None:
-            spot.in_flight.append(Flying(act.name, target.birth, act.message))
-    del spot.in_flight[: max(len(spot.in_flight) - MOST_FLYING, 0)]
+            state.in_flight.append(InFlight(action.target, target.incarnation, action.message))
+    del state.in_flight[: max(len(state.in_flight) - MAX_IN_FLIGHT, 0)]
 
 
-def _spend(spot: Spot) -> None:
-    """All that run spend what they have, the floor apart."""
-    for name, core in spot.cores.items():
-        if core is not None and name != spot.stopped:
-            holding = core.holdings[0]
-            while holding.leased.look(spot.now) < holding.part and core.may_spend(0, spot.now):
-                if holding.own.whole:  # the floor is the node's own whatever comes: not what is looked at
+def _spend_all(state: FleetState) -> None:
+    """Every running process spends all its leased units."""
+    for name, core in state.cores.items():
+        if core is not None and name != state.stopped:
+            local = core.local_budgets[0]
+            while local.leased_usage.read(state.now) < local.allocation and core.try_spend(0, state.now):
+                if local.floor_usage.sum:  # the floor belongs to the node in any case and is not checked here
                     break
 
 
-def broken(spot: Spot) -> str:
-    used = sum(count for until, count in spot.dead if until > spot.now)
-    running = [core for core in spot.cores.values() if core is not None]
-    can = used + sum(core.can(0, spot.now) for core in running)
-    if running and can > running[0].rest[0]:
-        return f"{can} of {running[0].rest[0]} leased units may be in use"
+def broken_invariant(state: FleetState) -> str:
+    """Says so if more leased units may be in use than are leasable; otherwise ""."""
+    in_use = sum(units for until, units in state.dead_usage if until > state.now)
+    running = [core for core in state.cores.values() if core is not None]
+    leased = in_use + sum(core.max_leased_units(0, state.now) for core in running)
+    if running and leased > running[0].leasable[0]:
+        return f"{leased} of {running[0].leasable[0]} leased units may be in use"
     return ""
 
 
-def explore(depth: int, most: int, make: Make = Core) -> Result:
-    """All states that `depth` steps lead to, or the first `most` of them."""
-    return breadth_first(begin(make), choices, lambda spot, choice: take(spot, choice, make), depth, most)
+def explore(depth: int, max_states: int, make: CoreFactory = Core) -> Result:
+    """Searches all states within `depth` steps, but not more than about `max_states`."""
+    return breadth_first(
+        initial_state(make), choices, lambda state, step: apply_step(state, step, make), depth, max_states
+    )
 
 
-# So that a giver rules most of the time, and something happens to it now and then.
-LIKELY = {"wake": 2.0, "deliver": 8.0, "lose": 0.5, "copy": 0.3, "stop": 0.06, "go": 0.1, "kill": 0.04,
-          "start": 0.3, "jump": 0.03, "want": 0.15}  # fmt: skip
+# Weights that leave a leader in office most of the time and inject a fault now and then.
+STEP_WEIGHTS = {"wake": 2.0, "deliver": 8.0, "lose": 0.5, "copy": 0.3, "stop": 0.06, "go": 0.1, "kill": 0.04,
+                "start": 0.3, "jump": 0.03, "want": 0.15}  # fmt: skip
 
 
-def walk(seed: int, steps: int = 400, make: Make = Core) -> str:
-    """One drawn course, far deeper than can be gone through: what broke."""
-    chance, spot = Random(seed), begin(make)
-    spot.duplicates_left = spot.pauses_left = spot.kills = spot.jumps = spot.wishes = 20
+def random_walk(seed: int, steps: int = 400, make: CoreFactory = Core) -> str:
+    """One random run, far deeper than the exhaustive search goes. Returns the invariant that broke, or ""."""
+    rng, state = Random(seed), initial_state(make)
+    state.duplicates_left = state.pauses_left = state.kills_left = state.jumps_left = (
+        state.demand_changes_left
+    ) = 20
     for _ in range(steps):
-        can = choices(spot)
-        weights = [LIKELY[each.partition(" ")[0]] for each in can]
-        if breach := take(spot, chance.choices(can, weights)[0], make):
+        possible = choices(state)
+        weights = [STEP_WEIGHTS[step.partition(" ")[0]] for step in possible]
+        if breach := apply_step(state, rng.choices(possible, weights)[0], make):
             return breach
     return ""
 
 
-# Planted faults, each of which has to be caught.
+# Cores with a planted fault. The checks above have to detect each of them.
 
 
 class RaisesEarly(Core):
-    """Gives what others were told to give up before they have."""
+    """Allocates units that other processes were told to give up before they have reported so."""
 
-    def free(self, place: int) -> int:
-        reign = self.reign
-        owed = sum(account.entries[-1].parts[place] for account in reign.accounts.values() if account.entries)
-        return self.rest[place] - owed - (reign.limbo[place] if self.now < reign.settled else 0)
+    def unallocated(self, index: int) -> int:
+        leadership = self.leadership
+        outstanding = sum(
+            record.grants[-1].units[index] for record in leadership.processes.values() if record.grants
+        )
+        return (
+            self.leasable[index]
+            - outstanding
+            - (leadership.unreported[index] if self.now < leadership.earlier_leases_end else 0)
+        )
 
 
-class ForgetsLimbo(Core):
-    """A new giver takes those that it has not heard to hold nothing."""
+class IgnoresUnreported(Core):
+    """As a new leader assumes that processes without a report hold nothing."""
 
-    def _begin(self) -> None:
-        super()._begin()
-        self.reign.limbo = [0 for _ in self.rest]
+    def _on_elected(self) -> None:
+        super()._on_elected()
+        self.leadership.unreported = [0 for _ in self.leasable]
 
 
 class SpendsAfterPause(Core):
-    """Does not look whether its lease will last."""
+    """Spends without checking that the lease lasts for the unit's window."""
 
-    def may_spend(self, place: int, now: float) -> bool:
-        holding = self.holdings[place]
-        if holding.leased.look(now) < holding.part:
-            holding.leased.add(now)
+    def try_spend(self, index: int, now: float) -> bool:
+        local = self.local_budgets[index]
+        if local.leased_usage.read(now) < local.allocation:
+            local.leased_usage.add(now)
             return True
-        return super().may_spend(place, now)
+        return super().try_spend(index, now)
 
 
-class KeepsItsPart(Core):
-    """A process that has just come goes on with what the one before it held."""
+class KeepsAllocation(Core):
+    """Takes over the allocation of its predecessor after a restart."""
 
-    kept: dict[str, int] = {}
+    last_allocation: dict[str, int] = {}
 
-    def _granted(self, message: Message) -> None:
-        super()._granted(message)
-        self.kept[self.name] = self.holdings[0].part
+    def _on_grant(self, message: Message) -> None:
+        super()._on_grant(message)
+        self.last_allocation[self.name] = self.local_budgets[0].allocation
 
-    def __init__(self, name: str, names: Any, budgets: Any, chance: Random, now: float, **more: Any) -> None:
-        super().__init__(name, names, budgets, chance, now, **more)
-        if now > 0.0 and name in self.kept:
-            self.holdings[0].part, self.lease_end = self.kept[name], now + self.lease
+    def __init__(self, name: str, names: Any, budgets: Any, rng: Random, now: float, **options: Any) -> None:
+        super().__init__(name, names, budgets, rng, now, **options)
+        if now > 0.0 and name in self.last_allocation:
+            self.local_budgets[0].allocation, self.lease_expires_at = (
+                self.last_allocation[name],
+                now + self.lease_seconds,
+            )
 
 
-class AnyMajority(Core):
-    """Rules on the promise of two at any time, and not of more than half."""
+class IgnoresQuorum(Core):
+    """Leads on the promise of any node, however old, instead of valid promises of more than half."""
 
-    def _authority(self) -> float:
-        return max(self.reign.acks.values(), default=0.0) + 100.0
+    def _quorum_expires_at(self) -> float:
+        return max(self.leadership.acks.values(), default=0.0) + 100.0
 
 
-class OldGrants(Core):
-    """Takes a late or doubled grant."""
+class AcceptsOldGrants(Core):
+    """Applies late and duplicated grants."""
 
-    def _granted(self, message: Message) -> None:
-        if message.term == self.held[0] and message.seq <= self.held[1]:
-            self.held = (message.term, message.seq - 1)
-        super()._granted(message)
+    def _on_grant(self, message: Message) -> None:
+        if message.term == self.applied_grant[0] and message.seq <= self.applied_grant[1]:
+            self.applied_grant = (message.term, message.seq - 1)
+        super()._on_grant(message)
 
 
-PLANTED = (RaisesEarly, ForgetsLimbo, SpendsAfterPause, KeepsItsPart, AnyMajority, OldGrants)
+PLANTED_FAULTS = (RaisesEarly, IgnoresUnreported, SpendsAfterPause, KeepsAllocation, IgnoresQuorum,
+                  AcceptsOldGrants)  # fmt: skip
--- a/thornladder/shares/virtual.py
+++ b/thornladder/shares/virtual.py
@@ -1,6 +1,6 @@
-"""Budgets in virtual time: the cores unchanged, with the rig's faults and clocks that run at their own rates.
+"""Simulation of budgets in virtual time: unmodified cores, the rig's faults, and clocks that drift.
 
-The accountant here knows every spend and nothing of the cores' reasons.
+It records every spent unit independently of the cores and checks the budget's limit by that record.
 """
 
 from __future__ import annotations
@@ -13,154 +13,178 @@
 from typing import Any
 
 from thornladder.rig.faults import Fault, Move, Process, Weather, moves
-from thornladder.shares.core import DRIFT, Budget, Core
+from thornladder.shares.core import MAX_CLOCK_DRIFT, Budget, Core
 from thornladder.shares.wire import Message
 
-Demand = Callable[[str, float], float]  # spends a second that a node has use for, at a moment
+Demand = Callable[[str, float], float]  # units per second that a node could use, by its name and the time
 
 
-class Place(Process):
-    def __init__(self, name: str, rate: float, zero: float) -> None:
-        """`rate`, `zero`: of its clock."""
+class SimulatedNode(Process):
+    """A node with a clock of its own."""
+
+    def __init__(self, name: str, clock_rate: float, clock_offset: float) -> None:
         super().__init__()
-        self.name, self.rate, self.zero = name, rate, zero
-        self.spent = self.refused = 0
+        self.name, self.clock_rate, self.clock_offset = name, clock_rate, clock_offset
+        self.spent_units = self.refused_units = 0
+
+    def local_time(self, now: float) -> float:
+        """What the node's clock shows at `now`."""
+        return self.clock_offset + now * self.clock_rate
 
-    def clock(self, now: float) -> float:
-        return self.zero + now * self.rate
 
+class Simulation:
+    """A fleet with one budget, driven by a queue of events. All times are in seconds of virtual time."""
 
-class World:
     def __init__(
         self, names: Sequence[str], budget: Budget, faults: Sequence[Fault], seed: int,
         demand: Demand | None = None, make: Callable[..., Any] = Core,
     ) -> None:  # fmt: skip
+        """`make` creates the core of a process; without `demand` no unit is spent."""
         self.names, self.budget, self.demand, self.make = list(names), budget, demand, make
-        self.chance = Random(seed)
-        self.weather = Weather(faults)
-        half = 0.49 * DRIFT  # of two clocks: they differ by DRIFT at most
-        self.places = {}
+        self.rng = Random(seed)
+        self.network = Weather(faults)
+        max_rate_error = 0.49 * MAX_CLOCK_DRIFT  # of one clock, so that two differ by MAX_CLOCK_DRIFT at most
+        self.nodes = {}
         for name in names:
-            rate, zero = 1.0 + self.chance.uniform(-half, half), self.chance.uniform(0.0, 1e4)
-            self.places[name] = Place(name, rate, zero)
+            rate, offset = (
+                1.0 + self.rng.uniform(-max_rate_error, max_rate_error),
+                self.rng.uniform(0.0, 1e4),
+            )
+            self.nodes[name] = SimulatedNode(name, rate, offset)
         self.now = 0.0
-        self.heap: list[tuple[float, int, Callable[..., None], tuple]] = []
-        self.count = itertools.count()
-        self.dead: list[tuple[float, int]] = []  # until when, how many units: of processes that died
-        self.spends: deque[float] = deque()  # of the last hold, in real time
-        self.most = 0  # of them, ever
+        self.events: list[tuple[float, int, Callable[..., None], tuple]] = []
+        self.event_numbers = itertools.count()
+        self.dead_usage: list[tuple[float, int]] = []  # of killed processes: end of the window, units in use
+        self.recent_spends: deque[float] = deque()  # times within the last window
+        self.max_in_window = 0
         self.breaches: list[str] = []
-        self.taken: dict[int, int] = {}  # by second
+        self.spends_by_second: dict[int, int] = {}
         for name in names:
             self.start(name)
-        for move in moves(faults, self.chance):
-            self.at(move.at, self._move, move)
+        for move in moves(faults, self.rng):
+            self.schedule(move.at, self._apply_move, move)
 
-    def at(self, when: float, what: Callable[..., None], *given: Any) -> None:
-        heapq.heappush(self.heap, (when, next(self.count), what, given))
+    def schedule(self, at: float, callback: Callable[..., None], *args: Any) -> None:
+        """Calls `callback` at the time `at`."""
+        heapq.heappush(self.events, (at, next(self.event_numbers), callback, args))
 
     def run(self, until: float) -> None:
-        while self.heap and self.heap[0][0] <= until and not self.breaches:
-            self.now, _, what, given = heapq.heappop(self.heap)
-            what(*given)
+        """Runs the events up to the time `until`, or up to the first breach."""
+        while self.events and self.events[0][0] <= until and not self.breaches:
+            self.now, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
         self.now = until
 
     def start(self, name: str) -> None:
-        place = self.places[name]
-        if place.core is not None:
+        """Starts a process of the node unless one runs."""
+        node = self.nodes[name]
+        if node.core is not None:
             return
-        chance = Random(self.chance.getrandbits(64))
-        place.core = self.make(name, self.names, [self.budget], chance, place.clock(self.now))
-        place.stopped, place.waiting = False, []
-        self._later(place, place.core)
+        rng = Random(self.rng.getrandbits(64))
+        node.core = self.make(name, self.names, [self.budget], rng, node.local_time(self.now))
+        node.stopped, node.waiting = False, []
+        self._schedule_wake(node, node.core)
         if self.demand is not None:
-            self.at(self.now + self.chance.random() * 0.1, self._arrive, place, place.core)
+            self.schedule(self.now + self.rng.random() * 0.1, self._arrive, node, node.core)
 
-    def _later(self, place: Place, core: Any) -> None:
-        due = max((core.due - place.clock(self.now)) / place.rate, 1e-6)
-        self.at(self.now + due, self._wake, place, core)
+    def _schedule_wake(self, node: SimulatedNode, core: Any) -> None:
+        delay = max((core.next_wake_at - node.local_time(self.now)) / node.clock_rate, 1e-6)
+        self.schedule(self.now + delay, self._wake, node, core)
 
-    def _held(self, place: Place, core: Any, what: Callable[..., None], *given: Any) -> bool:
-        """Whether this cannot happen now: the process is gone, or stopped and will do it later."""
-        if place.core is not core:
+    def _is_blocked(self, node: SimulatedNode, core: Any, callback: Callable[..., None], *args: Any) -> bool:
+        """Whether the process is gone, or stopped; `callback` is then called once it goes on."""
+        if node.core is not core:
             return True
-        if place.stopped:
-            place.waiting.append((what, given))
-        return place.stopped
-
-    def _wake(self, place: Place, core: Any) -> None:
-        if not self._held(place, core, self._wake, place, core):
-            core.wake(place.clock(self.now))
-            self._after(place, core)
-            self._later(place, core)
-
-    def _message(self, place: Place, core: Any, message: Message) -> None:
-        if not self._held(place, core, self._message, place, core, message):
-            core.on_message(place.clock(self.now), message)
-            self._after(place, core)
-
-    def _after(self, place: Place, core: Any) -> None:
-        for act in core.take_acts():
-            target = self.places[act.name]
-            if target is place:
-                self._message(place, core, act.message)
+        if node.stopped:
+            node.waiting.append((callback, args))
+        return node.stopped
+
+    def _wake(self, node: SimulatedNode, core: Any) -> None:
+        if not self._is_blocked(node, core, self._wake, node, core):
+            core.wake(node.local_time(self.now))
+            self._perform_actions(node, core)
+            self._schedule_wake(node, core)
+
+    def _deliver(self, node: SimulatedNode, core: Any, message: Message) -> None:
+        if not self._is_blocked(node, core, self._deliver, node, core, message):
+            core.on_message(node.local_time(self.now), message)
+            self._perform_actions(node, core)
+
+    def _perform_actions(self, node: SimulatedNode, core: Any) -> None:
+        for action in core.take_actions():
+            target = self.nodes[action.target]
+            if target is node:
+                self._deliver(node, core, action.message)
                 continue
-            size = 60 + 4 * len(act.message.parts)
-            for later in self.weather.passes(self.now, place.name, act.name, size, self.chance):
+            size = 60 + 4 * len(action.message.parts)
+            for delay in self.network.passes(self.now, node.name, action.target, size, self.rng):
                 if target.core is not None:
-                    self.at(self.now + later, self._message, target, target.core, act.message)
-        self._check()
+                    self.schedule(self.now + delay, self._deliver, target, target.core, action.message)
+        self._check_leased_units()
 
-    def _arrive(self, place: Place, core: Any) -> None:
-        """An invocation that would spend."""
-        if self._held(place, core, self._arrive, place, core):
+    def _arrive(self, node: SimulatedNode, core: Any) -> None:
+        """An invocation arrives that needs one unit."""
+        if self._is_blocked(node, core, self._arrive, node, core):
             return
-        if core.may_spend(0, place.clock(self.now)):
-            place.spent += 1
-            self.spends.append(self.now)
-            self.taken[int(self.now)] = self.taken.get(int(self.now), 0) + 1
-            while self.spends[0] <= self.now - self.budget.hold:
-                self.spends.popleft()
-            self.most = max(self.most, len(self.spends))
-            if len(self.spends) > self.budget.whole:
-                self.breaches.append(f"{self.now:.3f}: {len(self.spends)} of {self.budget.whole} spent")
+        if core.try_spend(0, node.local_time(self.now)):
+            node.spent_units += 1
+            self.recent_spends.append(self.now)
+            self.spends_by_second[int(self.now)] = self.spends_by_second.get(int(self.now), 0) + 1
+            while self.recent_spends[0] <= self.now - self.budget.window:
+                self.recent_spends.popleft()
+            self.max_in_window = max(self.max_in_window, len(self.recent_spends))
+            if len(self.recent_spends) > self.budget.limit:
+                self.breaches.append(
+                    f"{self.now:.3f}: {len(self.recent_spends)} of {self.budget.limit} spent"
+                )
         else:
-            place.refused += 1
-        rate = self.demand(place.name, self.now)
-        self.at(self.now + (self.chance.expovariate(rate) if rate > 0.0 else 0.5), self._arrive, place, core)
-
-    def _move(self, move: Move) -> None:
-        place = self.places[move.node]
+            node.refused_units += 1
+        rate = self.demand(node.name, self.now)
+        self.schedule(
+            self.now + (self.rng.expovariate(rate) if rate > 0.0 else 0.5), self._arrive, node, core
+        )
+
+    def _apply_move(self, move: Move) -> None:
+        node = self.nodes[move.node]
         if move.what == "start":
             self.start(move.node)
-        elif place.core is None:
+        elif node.core is None:
             return
         elif move.what == "stop":
-            place.stopped = True
+            node.stopped = True
         elif move.what == "go":
-            place.go()
+            node.go()
         else:
-            used = place.core.holdings[0].leased.look(place.clock(self.now))
-            if used:
-                self.dead.append((self.now + self.budget.hold, used))
-            place.end()
+            in_use = node.core.local_budgets[0].leased_usage.read(node.local_time(self.now))
+            if in_use:
+                self.dead_usage.append((self.now + self.budget.window, in_use))
+            node.end()
 
-    def used(self, since: int, until: int) -> float:
-        """Share of the whole that was spent in these seconds."""
-        spent = sum(self.taken.get(second, 0) for second in range(since, until))
-        return spent * self.budget.hold / (until - since) / self.budget.whole
+    def utilization(self, since: int, until: int) -> float:
+        """Fraction of the limit that was spent from second `since` up to second `until`."""
+        spent = sum(self.spends_by_second.get(second, 0) for second in range(since, until))
+        return spent * self.budget.window / (until - since) / self.budget.limit
 
     @property
-    def giver(self) -> str:
-        """Who rules; "" where nobody does."""
-        reigns = {name: place.core.reign for name, place in self.places.items() if place.core is not None}
-        return next((name for name, reign in reigns.items() if reign and reign.began is not None), "")
-
-    def _check(self) -> None:
-        """All that may be spent together, floors apart, is at most what is leased out of the whole."""
-        self.dead = [(until, used) for until, used in self.dead if until > self.now]
-        running = [place for place in self.places.values() if place.core is not None]
-        can = sum(place.core.can(0, place.clock(self.now)) for place in running)
-        rest = next((place.core.rest[0] for place in running), 0)
-        if running and can > rest:
-            self.breaches.append(f"{self.now:.3f}: {can} of {rest} leased units may be spent")
+    def leader(self) -> str:
+        """Name of the leader in office, "" if there is none."""
+        leaderships = {
+            name: node.core.leadership for name, node in self.nodes.items() if node.core is not None
+        }
+        return next(
+            (
+                name
+                for name, leadership in leaderships.items()
+                if leadership and leadership.elected_at is not None
+            ),
+            "",
+        )
+
+    def _check_leased_units(self) -> None:
+        """All units that may be spent under leases at once stay within the leasable part of the limit."""
+        self.dead_usage = [(until, in_use) for until, in_use in self.dead_usage if until > self.now]
+        running = [node for node in self.nodes.values() if node.core is not None]
+        leased = sum(node.core.max_leased_units(0, node.local_time(self.now)) for node in running)
+        leasable = next((node.core.leasable[0] for node in running), 0)
+        if running and leased > leasable:
+            self.breaches.append(f"{self.now:.3f}: {leased} of {leasable} leased units may be spent")
