--- a/thornladder/measures/membership.py
+++ b/thornladder/measures/membership.py
@@ -19,7 +19,7 @@
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
 from thornladder.rig.play import Holds, Load, Plan, Replace
-from thornladder.rig.virtual import World, ours
+from thornladder.rig.virtual import Simulation, ours
 
 OUT = ("lost", "ended", "left")
 MANY = 12  # schedules of 400 members in the long run: minutes of a core each
@@ -158,22 +158,23 @@
     """One schedule of overlapping faults; what came of it."""
     names = [f"m{number:03}" for number in range(size)]
     schedule: Schedule = draw(names, seed)
-    world = World(names, schedule.faults, seed, make={"ours": ours, "heartbeats": baselines.heartbeats,
+    world = Simulation(names, schedule.faults, seed, make={"ours": ours, "heartbeats": baselines.heartbeats,
                                                      "swim": baselines.swim}[make])  # fmt: skip
     world.run(schedule.healed)
-    merged = world.until_one_view(10.0)
-    wrong = [told for told in world.told
-             if told.view and told.what in OUT and not schedule.excused(told.of, told.at)]  # fmt: skip
-    return {"wrong": len({(told.of, round(told.at)) for told in wrong}), "merged": merged,
+    merged = world.run_until_converged(10.0)
+    wrong = [told for told in world.changes
+             if told.view_changed and told.state in OUT
+             and not schedule.excused(told.subject, told.at)]  # fmt: skip
+    return {"wrong": len({(told.subject, round(told.at)) for told in wrong}), "merged": merged,
             "first": (seed, wrong[0]) if wrong else None}  # fmt: skip
 
 
 def steady(size: int) -> dict[str, float]:
-    world = World([f"m{number:04}" for number in range(size)], [], 1)
+    world = Simulation([f"m{number:04}" for number in range(size)], [], 1)
     world.run(2.0)
-    before = [(place.bytes, place.messages, place.cpu) for place in world.places.values()]
+    before = [(place.bytes_sent, place.messages_sent, place.cpu_seconds) for place in world.members.values()]
     world.run(12.0)
-    after = [(place.bytes, place.messages, place.cpu) for place in world.places.values()]
+    after = [(place.bytes_sent, place.messages_sent, place.cpu_seconds) for place in world.members.values()]
     spent = [[(b - a) / 10.0 for a, b in zip(x, y, strict=True)] for x, y in zip(before, after, strict=True)]
     return {"bytes": max(row[0] for row in spent), "messages": max(row[1] for row in spent),
             "cpu": statistics.mean(row[2] for row in spent)}  # fmt: skip
@@ -186,9 +187,13 @@
     fault = Fault(kind="kill", at=at, nodes=(names[1],)) if kind == "killed" else Fault(
         kind="cut", at=at, lasts=60.0, source=(names[1],), both=True
     )  # fmt: skip
-    world = World(names, [fault], seed)
+    world = Simulation(names, [fault], seed)
     world.run(at + 15.0)
-    known = {told.by: told.at - at for told in reversed(world.told) if told.of == names[1] and told.view}
+    known = {
+        told.observer: told.at - at
+        for told in reversed(world.changes)
+        if told.subject == names[1] and told.view_changed
+    }
     known.pop(names[1], None)
     return min(known.values(), default=math.inf), (
         max(known.values()) if len(known) == size - 1 else math.inf
@@ -203,13 +208,14 @@
         who = (names[(number * 7) % size],)
         faults += [Fault(kind="kill", at=at, nodes=who), Fault(kind="start", at=at + 20.0, nodes=who)]
         at += step
-    world = World(names, faults, seed)
+    world = Simulation(names, faults, seed)
     world.run(at + 22.0)
-    merged = world.until_one_view(10.0)
+    merged = world.run_until_converged(10.0)
     seconds = world.now
-    wrong = sum(told.view and told.what == "lost" for told in world.told)
-    return {"merged": merged, "bytes": max(p.bytes for p in world.places.values()) / seconds, "lost": wrong,
-            "cpu": statistics.mean(p.cpu for p in world.places.values()) / seconds}  # fmt: skip
+    wrong = sum(told.view_changed and told.state == "lost" for told in world.changes)
+    return {"merged": merged, "bytes": max(p.bytes_sent for p in world.members.values()) / seconds,
+            "lost": wrong,
+            "cpu": statistics.mean(p.cpu_seconds for p in world.members.values()) / seconds}  # fmt: skip
 
 
 def long_day(seed: int, seconds: float, size: int = 8) -> dict[str, float]:
@@ -218,10 +224,10 @@
     faults = [Fault(kind="loss", at=0.0, lasts=seconds, share=0.1)]
     faults += [Fault(kind="pause", at=20.0 * k + 5.0, lasts=0.5 + (k * 37 % 46) / 10.0,
                      nodes=(names[(k * 5 + seed) % size],)) for k in range(int(seconds / 20.0))]  # fmt: skip
-    world = World(names, faults, seed)
+    world = Simulation(names, faults, seed)
     world.run(seconds)
-    return {"removed": sum(told.view and told.what in OUT for told in world.told),
-            "merged": world.until_one_view(10.0)}  # fmt: skip
+    return {"removed": sum(told.view_changed and told.state in OUT for told in world.changes),
+            "merged": world.run_until_converged(10.0)}  # fmt: skip
 
 
 def percentiles(values: Sequence[float]) -> dict[str, float]:
--- a/thornladder/rig/virtual.py
+++ b/thornladder/rig/virtual.py
@@ -38,14 +38,14 @@
     def take_changes(self) -> list[Any]: ...
 
 
-class Told(NamedTuple):
+class MemberChange(NamedTuple):
     """A change that one member took in."""
 
     at: float
-    by: str
-    of: str
-    what: str
-    view: bool
+    observer: str
+    subject: str
+    state: str
+    view_changed: bool
 
 
 class Place(Process):
@@ -56,8 +56,8 @@
         self.name, self.address = name, address
         self.starts = 0
         self.wakes = 0  # tells the wake-up that is due from those it took the place of
-        self.bytes = self.messages = 0
-        self.cpu = 0.0
+        self.bytes_sent = self.messages_sent = 0
+        self.cpu_seconds = 0.0
 
 
 Maker = Callable[[str, str, Sequence[str], Random, float], Any]
@@ -67,7 +67,7 @@
     return Core(name, address, "fleet", seeds, chance, now)
 
 
-class World:
+class Simulation:
     MOST_WAITING = 2000  # datagrams that the kernel keeps for a stopped process
 
     def __init__(
@@ -79,30 +79,30 @@
         self.now = 0.0
         self.make, self.skew = make, skew or {}
         self.weather = Weather(faults)
-        self.places = {name: Place(name, f"10.0.{k // 250}.{k % 250}:7946") for k, name in enumerate(names)}
-        self.by_address = {place.address: place for place in self.places.values()}
-        self.seeds = [place.address for place in self.places.values()][:seeds]
+        self.members = {name: Place(name, f"10.0.{k // 250}.{k % 250}:7946") for k, name in enumerate(names)}
+        self.by_address = {place.address: place for place in self.members.values()}
+        self.seeds = [place.address for place in self.members.values()][:seeds]
         self.heap: list[tuple[float, int, Callable[..., None], tuple]] = []
         self.count = itertools.count()
-        self.told: list[Told] = []
-        self.checks: list[Callable[[World, Place], None]] = []
+        self.changes: list[MemberChange] = []
+        self.step_hooks: list[Callable[[Simulation, Place], None]] = []
         for name in names:
             self.start(name)
         if joined:
             self.introduce()
         for move in moves(faults, self.chance):
-            self.at(move.at, self._move, move)
+            self.call_at(move.at, self._move, move)
 
     def introduce(self) -> None:
         """Every member holds the whole view, as after a long quiet time."""
-        items = [place.core.own_item for place in self.places.values()]
-        for place in self.places.values():
+        items = [place.core.own_item for place in self.members.values()]
+        for place in self.members.values():
             place.core.bootstrap(items)
             place.core.take_changes()
 
     # Events.
 
-    def at(self, when: float, what: Callable[..., None], *given: Any) -> None:
+    def call_at(self, when: float, what: Callable[..., None], *given: Any) -> None:
         heapq.heappush(self.heap, (when, next(self.count), what, given))
 
     def run(self, until: float) -> None:
@@ -115,7 +115,7 @@
         return self.now + self.skew.get(place.name, 0.0)
 
     def start(self, name: str) -> None:
-        place = self.places[name]
+        place = self.members[name]
         if place.core is not None:
             return
         place.starts += 1
@@ -127,7 +127,7 @@
     def _wake_later(self, place: Place) -> None:
         due = place.core.next_wake_at - self.skew.get(place.name, 0.0)
         place.wakes += 1
-        self.at(max(due, self.now), self._wake, place, place.core, place.wakes)
+        self.call_at(max(due, self.now), self._wake, place, place.core, place.wakes)
 
     def _wake(self, place: Place, core: Any, number: int) -> None:
         # Guards against wake-ups that multiply: one that came in its place has the higher number.
@@ -143,13 +143,15 @@
     def _step(self, place: Place, what: Callable[..., None], *given: Any) -> None:
         began = time.perf_counter()
         what(*given)
-        place.cpu += time.perf_counter() - began
+        place.cpu_seconds += time.perf_counter() - began
         core = place.core
         for act in core.take_actions():
             self._act(place, act)
         for change in core.take_changes():
-            self.told.append(Told(self.now, place.name, change.name, change.state, change.view_changed))
-        for check in self.checks:
+            self.changes.append(
+                MemberChange(self.now, place.name, change.name, change.state, change.view_changed)
+            )
+        for check in self.step_hooks:
             check(self, place)
 
     def _arrive(self, place: Place, source: str, data: bytes, by_connection: bool = False) -> None:
@@ -172,8 +174,8 @@
         target = self.by_address.get(act.address)
         if isinstance(act, Send):
             data = encode(act.message)
-            place.bytes += len(data) + HEAD
-            place.messages += 1
+            place.bytes_sent += len(data) + HEAD
+            place.messages_sent += 1
             if target is not None:
                 self._send(place, target, data)
         elif isinstance(act, ConnectionProbe):
@@ -183,7 +185,7 @@
 
     def _send(self, place: Place, target: Place, data: bytes) -> None:
         for later in self.weather.passes(self.now, place.name, target.name, len(data), self.chance):
-            self.at(self.now + later, self._arrive, target, place.address, data)
+            self.call_at(self.now + later, self._arrive, target, place.address, data)
 
     def _there_and_back(self, a: Place, b: Place, size: int) -> float | None:
         there = self.weather.carries(self.now, a.name, b.name, size, self.chance)
@@ -191,16 +193,16 @@
         return None if there is None or back is None else there + back
 
     def _check(self, place: Place, target: Place | None, act: ConnectionProbe) -> None:
-        place.bytes += CONNECTION
+        place.bytes_sent += CONNECTION
         number = act.message.number
         round_trip = self._there_and_back(place, target, 100) if target else None
         if round_trip is None or round_trip > PATIENCE:
             return
         if target.core is None:
-            self.at(self.now + round_trip, self._checked, place, place.core, number)
+            self.call_at(self.now + round_trip, self._checked, place, place.core, number)
         elif not target.stopped:
             answer = encode(target.core.reply_to(act.message))
-            self.at(self.now + round_trip, self._arrive, place, target.address, answer, True)
+            self.call_at(self.now + round_trip, self._arrive, place, target.address, answer, True)
 
     def _checked(self, place: Place, core: Any, number: int) -> None:
         if place.core is core and not place.stopped:
@@ -215,15 +217,15 @@
         if round_trip is None or round_trip > LONGEST or target.core is None or target.stopped:
             return
         back = encode(target.core.reply_to(view))
-        place.bytes += len(data) + CONNECTION
-        target.bytes += len(back) + CONNECTION
-        self.at(self.now + round_trip / 2.0, self._arrive, target, place.address, data, True)
-        self.at(self.now + round_trip, self._arrive, place, target.address, back, True)
+        place.bytes_sent += len(data) + CONNECTION
+        target.bytes_sent += len(back) + CONNECTION
+        self.call_at(self.now + round_trip / 2.0, self._arrive, target, place.address, data, True)
+        self.call_at(self.now + round_trip, self._arrive, place, target.address, back, True)
 
     # What is done to them.
 
     def _move(self, move: Move) -> None:
-        place = self.places[move.node]
+        place = self.members[move.node]
         if move.what == "start":
             self.start(move.node)
         elif place.core is None:
@@ -243,17 +245,17 @@
 
     @property
     def running(self) -> list[str]:
-        return sorted(name for name, place in self.places.items() if place.core is not None)
+        return sorted(name for name, place in self.members.items() if place.core is not None)
 
-    def one_view(self, names: Iterable[str] | None = None) -> bool:
+    def has_converged(self, names: Iterable[str] | None = None) -> bool:
         """Every running member holds exactly the running ones to be there."""
         wanted = self.running if names is None else sorted(names)
-        return all(self.places[name].core.members == wanted for name in wanted)
+        return all(self.members[name].core.members == wanted for name in wanted)
 
-    def until_one_view(self, limit: float, step: float = 0.1) -> float:
+    def run_until_converged(self, limit: float, step: float = 0.1) -> float:
         """Seconds until all have one view and it is the true one; inf where that takes over `limit`."""
         began = self.now
-        while not self.one_view():
+        while not self.has_converged():
             if self.now - began >= limit:
                 return math.inf
             self.run(self.now + step)
