--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -8,7 +8,7 @@
 
 from thornladder.decide import Node
 from thornladder.measures.cold import DAYS, judge
-from thornladder.rig.cold import Ramp, play, tolerated
+from thornladder.rig.cold import Ramp, run_ramp, tolerated_calls
 
 
 # Each broke the text before, in which the first attempt in a span passed whatever it cost: 1.17, 1.13, 1.06
@@ -41,8 +41,8 @@
 
 def test_a_ramp_is_the_same_play_each_time_and_what_is_tolerated_follows_the_settings() -> None:
     ramp = Ramp(3, processes=6, backends=6, warm_up=4.0)
-    assert play(ramp).calls == play(ramp).calls
-    assert tolerated(9.0) == pytest.approx(17.0)
-    fleet = play(ramp)
-    assert fleet.allowed(fleet.began) == pytest.approx(3.0 * 0.2 / 0.05)
-    assert fleet.allowed(fleet.began + 2.0) == pytest.approx(3.0 * 0.5 / 0.05)
+    assert run_ramp(ramp).cold_attempt_times == run_ramp(ramp).cold_attempt_times
+    assert tolerated_calls(9.0) == pytest.approx(17.0)
+    fleet = run_ramp(ramp)
+    assert fleet.allowed_calls(fleet.cold_start_at) == pytest.approx(3.0 * 0.2 / 0.05)
+    assert fleet.allowed_calls(fleet.cold_start_at + 2.0) == pytest.approx(3.0 * 0.5 / 0.05)
--- a/thornladder/measures/cold.py
+++ b/thornladder/measures/cold.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from thornladder.measures.points import Points
-from thornladder.rig.cold import Ramp, play
+from thornladder.rig.cold import Ramp, run_ramp
 
 USUAL: dict[str, Any] = {"backends": 12, "warm_up": 8.0}
 LOST: dict[str, Any] = {**USUAL, "lost": 6, "load": 0.9, "work": 0.08, "share": 0.13}
@@ -51,8 +51,13 @@
 
 
 def judge(seed: int, name: str) -> Verdict:
-    fleet = play(Ramp(seed, **DAYS[name]))
-    return Verdict(seed, *fleet.worst(), fleet.mean_use(), fleet.rejected / max(fleet.came, 1))
+    fleet = run_ramp(Ramp(seed, **DAYS[name]))
+    return Verdict(
+        seed,
+        *fleet.peak_window(),
+        fleet.mean_utilization(),
+        fleet.rejected_count / max(fleet.invocation_count, 1),
+    )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
--- a/thornladder/rig/cold.py
+++ b/thornladder/rig/cold.py
@@ -1,8 +1,8 @@
 """A fleet of decision modules in virtual time round one backend that starts cold: what all send it together.
 
 The real module, an instance for each process, nothing shared between them but the list and the backends.
-`play` runs one ramp and counts every attempt on the cold backend by when it was sent; what it may be sent
-is the settings' figure alone: so many times what the surest capacity of its age carries (`allowed`).
+`run_ramp` runs one ramp and counts every attempt on the cold backend by when it was sent; what it may be sent
+is the settings' figure alone: so many times what the surest capacity of its age carries (`allowed_calls`).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 SPARE, MORE = 2.0, 2.0  # of the terms: put down to chance beyond N calls are twice the root of N, and two
 
 
-def tolerated(calls: float) -> float:
+def tolerated_calls(calls: float) -> float:
     """The most that all processes together may send where the settings allow `calls`."""
     return calls + SPARE * sqrt(calls) + MORE
 
@@ -74,7 +74,7 @@
         self.fleet.at(delay, lambda: self.alive and self.node.on_timer(self.fleet.now, name))
 
     def nack(self, invocation: str, retry_after: float) -> None:
-        self.fleet.rejected += 1
+        self.fleet.rejected_count += 1
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *given: None  # the list is told unasked; nothing is cancelled or probed
@@ -86,8 +86,8 @@
     def __init__(self, ramp: Ramp) -> None:
         self.ramp, self.chance = ramp, Random(ramp.seed)
         self.now, self.ids, self.events = 0.0, count(), []
-        self.rejected = self.came = 0
-        self.calls: list[float] = []  # when the cold backend was sent an attempt
+        self.rejected_count = self.invocation_count = 0
+        self.cold_attempt_times: list[float] = []  # when the cold backend was sent an attempt
         self.busy: dict[str, float] = {}  # until when each backend's work lasts
         self.attempts: dict[tuple[int, str], int] = {}
         names = [f"b{number:03}" for number in range(ramp.backends)]
@@ -103,7 +103,7 @@
             self._arrivals(hosts, rate * weight / total)
 
     @property
-    def began(self) -> float:
+    def cold_start_at(self) -> float:
         return self.BEFORE
 
     @property
@@ -133,7 +133,7 @@
         def come() -> None:
             alive = [host for host in hosts if host.alive]
             host = alive[self.chance.randrange(len(alive))]
-            self.came += 1
+            self.invocation_count += 1
             id = f"i{next(self.ids)}"
             self.attempts[host.number, id] = 0
             host.node.on_invocation(self.now, Invocation(id, "look", "", 3.0, None, False))
@@ -160,7 +160,7 @@
         self.attempts[key] += 1
         outcome, took = Outcome.COMPLETED, 0.001
         if backend == "cold":
-            self.calls.append(self.now)
+            self.cold_attempt_times.append(self.now)
             took = self._work() / max(self.ramp.share, 0.2)
         elif self.chance.random() < self.ramp.errors:
             outcome = Outcome.REJECTED
@@ -189,30 +189,30 @@
             what()
         return self
 
-    def allowed(self, at: float) -> float:
+    def allowed_calls(self, at: float) -> float:
         """How many calls of mean work the settings allow in the span that ends then: N."""
         age = max(at - self.BEFORE, 0.0)
         capacity = min(max(self.ramp.share, age / self.ramp.warm_up), 1.0)
         return self.ramp.multiple * capacity * self.ramp.span / self.ramp.work
 
-    def worst(self) -> tuple[float, float]:
+    def peak_window(self) -> tuple[float, float]:
         """The most calls in any span, as a part of N and as a part of what is tolerated."""
         window: deque[float] = deque()
         used = most = 0.0
-        for at in self.calls:
+        for at in self.cold_attempt_times:
             window.append(at)
             while window[0] <= at - self.ramp.span:
                 window.popleft()
-            calls = self.allowed(window[0])  # the strictest: as of the first of them
-            used, most = max(used, len(window) / calls), max(most, len(window) / tolerated(calls))
+            calls = self.allowed_calls(window[0])  # the strictest: as of the first of them
+            used, most = max(used, len(window) / calls), max(most, len(window) / tolerated_calls(calls))
         return used, most
 
-    def mean_use(self) -> float:
+    def mean_utilization(self) -> float:
         """Calls in the ramp, as a part of what N allows over it."""
         steps = 100
-        whole = sum(self.allowed(self.BEFORE + self.length * n / steps) for n in range(steps)) / steps
-        return len(self.calls) / (whole * self.length / self.ramp.span)
+        whole = sum(self.allowed_calls(self.BEFORE + self.length * n / steps) for n in range(steps)) / steps
+        return len(self.cold_attempt_times) / (whole * self.length / self.ramp.span)
 
 
-def play(ramp: Ramp) -> Fleet:
+def run_ramp(ramp: Ramp) -> Fleet:
     return Fleet(ramp).run()
