--- a/thornladder/measures/sizes.py
+++ b/thornladder/measures/sizes.py
@@ -15,7 +15,7 @@
 from thornladder.interface import Invocation, ListKind, Outcome
 from thornladder.measures.points import Points
 from thornladder.node.messages import decode_list
-from thornladder.rig.told import decisions, listed
+from thornladder.rig.told import decision_settings, list_entry
 
 SIZES = (16, 128, 1024)
 RATE, SPAN = 50, 20  # invocations a second at the node, as in a bank of many; seconds
@@ -50,11 +50,11 @@
 
 
 def cost(size: int) -> Cost:
-    lines = [listed(f"s{number}", "in_service") for number in range(size)]
+    lines = [list_entry(f"s{number}", "in_service") for number in range(size)]
     body = json.dumps({"generation": 2, "reset": True, "instances": lines}, indent=2).encode()
     host = _Host()
     tracemalloc.start()
-    node = Node(host, seed=1, now=0.0, **decisions(200, False))
+    node = Node(host, seed=1, now=0.0, **decision_settings(200, False))
     node.on_list(0.0, ListKind.SNAPSHOT, decode_list(body).entries)
     memory = tracemalloc.get_traced_memory()[0] / 1024.0
     tracemalloc.stop()
@@ -74,7 +74,7 @@
         spent += time.perf_counter() - began
         host.pushed.clear()
         if number == RATE * SPAN // 2:
-            part = [listed(f"s{each}", "terminating") for each in range(0, size, 4)]
+            part = [list_entry(f"s{each}", "terminating") for each in range(0, size, 4)]
             text = json.dumps({"generation": 3, "reset": False, "instances": part}, indent=2).encode()
             began = time.perf_counter()
             node.on_list(now, ListKind.DELTA, decode_list(text).entries)
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -26,7 +26,7 @@
 from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
 from thornladder.node.messages import DiscoveryResponse, FinalOutcome
-from thornladder.rig.told import Change, Schedule, play
+from thornladder.rig.told import Change, Schedule, run_schedule
 
 KINDS = ("silent", "silent body", "silent first", "silent twice", "reset", "away", "move",
          "move into silence", "spoilt", "stall", "crowd")  # fmt: skip
@@ -88,9 +88,9 @@
                     changes += [Change(back, name, "in_service") for name in part]
         at += lasts + rng.uniform(0.0, 2.0)
     return Schedule(
-        seed=seed, pushed=rng.random() < 0.5, grace=grace, backends=backends,
-        rate=rng.choice((10.0, 40.0)), length=at + 6.0, turn=rng.choice((0.0, 0.05, 0.3)),
-        indented=rng.random() < 0.3, late=rng.choice((0.0, 0.1, 0.3)),
+        seed=seed, list_pushed=rng.random() < 0.5, drain_grace=grace, backends=backends,
+        rate=rng.choice((10.0, 40.0)), duration=at + 6.0, watch_open_seconds=rng.choice((0.0, 0.05, 0.3)),
+        indented_json=rng.random() < 0.3, late_connect_share=rng.choice((0.0, 0.1, 0.3)),
         changes=tuple(sorted(changes)), **days,
     )  # fmt: skip
 
@@ -137,9 +137,9 @@
         if at - begins > 14.0:
             break
     return Schedule(
-        seed=seed, pushed=pushed, grace=grace, backends=backends, rate=rng.choice((10.0, 40.0)),
-        length=at + 8.0, turn=rng.choice((0.0, 0.05, 0.3)), late=rng.choice((0.0, 0.3)),
-        changes=tuple(sorted(changes)), **days,
+        seed=seed, list_pushed=pushed, drain_grace=grace, backends=backends, rate=rng.choice((10.0, 40.0)),
+        duration=at + 8.0, watch_open_seconds=rng.choice((0.0, 0.05, 0.3)),
+        late_connect_share=rng.choice((0.0, 0.3)), changes=tuple(sorted(changes)), **days,
     )  # fmt: skip
 
 
@@ -155,8 +155,8 @@
 def judge(seed: int, planted: str = "", failing: bool = False) -> Verdict:
     """Plays one schedule, with a fault in the node if one is named; `failing`: one of calls that fail."""
     with PLANTED[planted]():
-        world = play(draw_failing(seed) if failing else draw(seed))
-    found, answers = world.reference.breaches(), world.answers
+        world = run_schedule(draw_failing(seed) if failing else draw(seed))
+    found, answers = world.reference.breaches(), world.outcomes
     first = f"{found[0][1]} at {found[0][0]:.3f}, {found[0][2]:.3f} s after told" if found else ""
     return Verdict(seed, len(found), first, len(world.reference.pushes),
                    answers[FinalOutcome.COMPLETED], answers[FinalOutcome.NACKED])  # fmt: skip
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -39,7 +39,7 @@
 SLACK = 0.05  # seconds that each limit is longer on sockets
 AGAIN = 0.2  # seconds in which a watch goes on
 TURN = 2.0  # seconds that the service lets a call wait for its turn
-MUST_ASK, FAILED = 10.0, 4.0  # seconds of the settings; times as long after a failed call
+MUST_ASK_SECONDS, FAILED = 10.0, 4.0  # seconds of the settings; times as long after a failed call
 
 
 class Change(NamedTuple):
@@ -61,9 +61,9 @@
 class Reference:
     """The terms. Events come in as they happen; `told` and `breaches` look at them all afterwards."""
 
-    pushed: bool  # whether lists are pushed
-    grace: float  # seconds, of the settings
-    must_ask: float = MUST_ASK
+    list_pushed: bool  # whether lists are pushed
+    drain_grace: float  # seconds, of the settings
+    must_ask_seconds: float = MUST_ASK_SECONDS
     changes: list[Change] = field(default_factory=list)  # by version: the first is version 2
     written: list[tuple[float, int]] = field(default_factory=list)  # when, up to which version
     silences: list[Silence] = field(default_factory=list)
@@ -86,7 +86,7 @@
         by += [max(at, silence.at + SILENCE, silence.wait_over + AFTER_WAIT) for silence in kept]
         moved = [move for move in self.moves if move - AGAIN <= at < self._heard(move)]
         by += [max(at, move + MOVED) for move in moved]
-        if not self.pushed:
+        if not self.list_pushed:
             by += [max(at, self._must_ask(end)) for end in self.ended if at < self._heard(end)]
         elif not kept and not any(move <= at for move in moved):
             # What the agent has counts; while it is down it learns nothing.
@@ -102,11 +102,11 @@
 
     def _must_ask(self, since: float) -> float:
         """When a node whose watch ended then and that gets no answer is held to what it does not have."""
-        limit = since + self.must_ask
+        limit = since + self.must_ask_seconds
         for at in sorted(self.refused):
             if since <= at < min(limit, self._heard(since)):
-                limit = at + FAILED * self.must_ask
-        back = [end + self.must_ask for start, end in self.away if start <= limit and end >= since]
+                limit = at + FAILED * self.must_ask_seconds
+        back = [end + self.must_ask_seconds for start, end in self.away if start <= limit and end >= since]
         return max([limit, *back])
 
     def _heard(self, since: float) -> float:
@@ -123,7 +123,7 @@
             leaving.setdefault(change.backend, []).append((self.told(number), min(later, default=math.inf)))
         return [
             (at, to, at - told) for at, to in self.pushes for told, undone in leaving.get(to, ())
-            if told + self.grace + SLACK < at < undone
+            if told + self.drain_grace + SLACK < at < undone
         ]  # fmt: skip
 
 
@@ -132,13 +132,13 @@
     """A day in data: moments in seconds."""
 
     seed: int
-    pushed: bool = False
-    grace: float = 0.75
+    list_pushed: bool = False
+    drain_grace: float = 0.75
     backends: int = 12
     rate: float = 40.0  # invocations a second
-    length: float = 24.0
-    turn: float = 0.05  # seconds of the service for each call that opens a watch
-    indented: bool = False
+    duration: float = 24.0
+    watch_open_seconds: float = 0.05  # seconds of the service for each call that opens a watch
+    indented_json: bool = False
     changes: tuple[Change, ...] = ()
     silent: tuple[tuple[float, int], ...] = ()  # when open watches fall silent, after how many bytes more
     mute_new: tuple[tuple[float, int], ...] = ()  # from when on, how many new connections never say a word
@@ -149,7 +149,7 @@
     refusing: tuple[tuple[float, float, str], ...] = ()  # from, until, how: "503", "late 503" or "reset"
     moves: tuple[float, ...] = ()  # SIGHUP: the service is at another address from then on
     stalls: tuple[tuple[float, float], ...] = ()  # the node gets no core
-    late: float = 0.0  # of the connections to backends come up late, up to a second
+    late_connect_share: float = 0.0  # of the connections to backends come up late, up to a second
 
 
 class Connection(Peer):
@@ -221,24 +221,24 @@
             if start <= came < end:
                 await self._refuse(connection, how)
                 return
-        if came - connection.answered > AGAIN and not self.schedule.pushed:
+        if came - connection.answered > AGAIN and not self.schedule.list_pushed:
             begin = max(came, self.free_at)
-            if begin + self.schedule.turn - came > TURN:
+            if begin + self.schedule.watch_open_seconds - came > TURN:
                 await self._refuse(connection, "late 503")
                 return
-            self.free_at = ready = begin + self.schedule.turn
+            self.free_at = ready = begin + self.schedule.watch_open_seconds
             await anyio.sleep_until(ready)
             connection.wait_over = ready + hold
         with anyio.move_on_after(hold):
             while known is not None and known >= self.version:
                 await self.changed.wait()
         entries = [
-            listed(each, change.state if change else "in_service")
+            list_entry(each, change.state if change else "in_service")
             for each, change in self._since(known).items()
         ]
         body = json.dumps(
             {"generation": self.version, "reset": known is None, "instances": entries},
-            indent=2 if self.schedule.indented else None,
+            indent=2 if self.schedule.indented_json else None,
         ).encode()  # fmt: skip
         spoilt = self.schedule.spoilt[self.spoilt : self.spoilt + 1]
         if odd := [instead for since, instead in spoilt if self.now >= since]:
@@ -325,7 +325,7 @@
 LOOK = Offering("look", Idempotency.REPEATABLE, "all", 0.0, 0.4, 1.5, 1.0, 0.0)
 
 
-def decisions(nodes: int, pushed: bool) -> dict[str, Any]:
+def decision_settings(nodes: int, pushed: bool) -> dict[str, Any]:
     """Settings of the module under which nothing but the list and the traffic matters."""
     return {
         "zone": "x", "rank": 0, "nodes": nodes, "offerings": [LOOK], "tenants": [],
@@ -333,11 +333,11 @@
         "cold": api.SlowStartRule(
             initial_capacity=1.0, warm_up=1.0, overload_multiple=100.0, overload_window=1.0
         ),
-        "must_ask_in": 0.0 if pushed else MUST_ASK,
+        "must_ask_in": 0.0 if pushed else MUST_ASK_SECONDS,
     }  # fmt: skip
 
 
-def listed(backend: str, state: str) -> dict[str, Any]:
+def list_entry(backend: str, state: str) -> dict[str, Any]:
     return line(backend, int(backend[1:]) + 1, "x", 0.0, state)
 
 
@@ -346,7 +346,7 @@
 
     ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, world: NodeSimulation, name: str) -> None:
         self.world, self.name = world, name
         self.wire = Wire(self)
 
@@ -360,18 +360,18 @@
         self.wire.feed(self.ANSWER)
 
 
-class World:
+class NodeSimulation:
     """One node, its list service and its backends, for the length of a schedule."""
 
     def __init__(self, schedule: Schedule, log: Any) -> None:
         self.schedule, self.log = schedule, log
         self.chance = Random(schedule.seed)
-        self.reference = Reference(schedule.pushed, schedule.grace)
+        self.reference = Reference(schedule.list_pushed, schedule.drain_grace)
         self.reference.away = list(schedule.away)
-        self.answers = dict.fromkeys(FinalOutcome, 0)
+        self.outcomes = dict.fromkeys(FinalOutcome, 0)
         self.group: Any
 
-    async def run(self) -> World:
+    async def run(self) -> NodeSimulation:
         async with anyio.create_task_group() as self.group:
             self.service = ListService(self.schedule, self.reference, self.group)
             tasks = Tasks(self.group, self.log)
@@ -379,21 +379,21 @@
             host = NodeHost(clock, tasks, self.log)  # type: ignore[arg-type]
             pool = Pool(4096, 60.0, 1.0, clock, connect=self._connect)
             pushes = PushDispatcher(
-                pool, self.schedule.grace, False, BodyBudget(2**20), tasks, host, clock, self.log
+                pool, self.schedule.drain_grace, False, BodyBudget(2**20), tasks, host, clock, self.log
             )
-            lines = [listed(f"s{number}", "in_service") for number in range(self.schedule.backends)]
+            lines = [list_entry(f"s{number}", "in_service") for number in range(self.schedule.backends)]
             known = messages.decode_list({"generation": 1, "reset": True, "instances": lines})
             watch = Watch(("list", 0), 1, tasks, host.on_list_answer, self.log, connect=self.service.connect,
-                          list_pushed=self.schedule.pushed)  # fmt: skip
-            pushed = self.schedule.pushed
-            host.start(pushes, watch, known, self.schedule.seed, pushed, decisions(1, pushed))
+                          list_pushed=self.schedule.list_pushed)  # fmt: skip
+            pushed = self.schedule.list_pushed
+            host.start(pushes, watch, known, self.schedule.seed, pushed, decision_settings(1, pushed))
             self.group.start_soon(self._faults, watch)
             await self._clients(host)
             self.group.cancel_scope.cancel()
         return self
 
     async def _connect(self, address: tuple[str, int], time_out: float) -> UpstreamConnection | Failure:
-        late = self.chance.random() if self.chance.random() < self.schedule.late else 0.001
+        late = self.chance.random() if self.chance.random() < self.schedule.late_connect_share else 0.001
         await anyio.sleep(min(late, time_out))
         if late > time_out:
             return Failure(Stage.CONNECTING, Cause.NO_CONNECTION)
@@ -401,7 +401,7 @@
 
     async def _clients(self, host: NodeHost) -> None:
         number = 0
-        while anyio.current_time() < self.schedule.length:
+        while anyio.current_time() < self.schedule.duration:
             await anyio.sleep(self.chance.expovariate(self.schedule.rate))
             number += 1
             invocation = api.Invocation(f"i{number}", "look", "t", LOOK.cut_off, None, False)
@@ -409,7 +409,7 @@
             host.start_invocation(Exchange(invocation, message, self._answered))
 
     def _answered(self, answer: ClientResponse) -> None:
-        self.answers[answer.outcome] += 1
+        self.outcomes[answer.outcome] += 1
 
     async def _faults(self, watch: Watch) -> None:
         day, service = self.schedule, self.service
@@ -439,9 +439,9 @@
         return lambda event, **named: self.lines.append(event)
 
 
-def play(schedule: Schedule) -> World:
+def run_schedule(schedule: Schedule) -> NodeSimulation:
     """Plays a schedule in virtual time. `reference.breaches()` of what comes back is the verdict."""
     log = _Quiet()
-    world = moments.play(World(schedule, log).run)
+    world = moments.play(NodeSimulation(schedule, log).run)
     assert not log.errors, log.errors[0]
     return world
