--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,9 +19,9 @@
 from thornladder.rig.play import DRIVER, Load, Rolling
 from thornladder.rollout import explore, virtual
 from thornladder.rollout.core import Driver, Phase, Record
-from thornladder.rollout.judge import Block, Odds
-from thornladder.rollout.orders import Claim, Document, Held, Variant, merged
-from thornladder.rollout.plan import load, unsound
+from thornladder.rollout.judge import ComparisonWindow, OddsRatioTest
+from thornladder.rollout.orders import AcceptorState, Claim, Document, Variant, apply_merge_patch
+from thornladder.rollout.plan import load, validation_error
 from thornladder.rollout.store import Store
 
 
@@ -42,18 +42,18 @@
     ],
 )  # fmt: skip
 def test_what_a_node_takes(steps: str, held: tuple[int, int], claim: Claim) -> None:
-    node = Held()
+    node = AcceptorState()
     for step in steps.split():
         if step[0] == "c":
             node.grant(Claim(int(step[1:-1]), step[-1]))
         else:
-            node.take(a_document(*map(int, step[1:].split("."))))
-    assert (node.order, node.claim) == (held, claim)
+            node.accept(a_document(*map(int, step[1:].split("."))))
+    assert (node.version, node.claim) == (held, claim)
 
 
 def test_a_merge_patch() -> None:
     settings = {"a": {"b": 1, "c": 2}, "d": [1], "e": 0}
-    patched = merged(settings, {"a": {"b": None, "x": 3}, "d": [2], "e": None})
+    patched = apply_merge_patch(settings, {"a": {"b": None, "x": 3}, "d": [2], "e": None})
     assert patched == {"a": {"c": 2, "x": 3}, "d": [2]}
     assert settings == {"a": {"b": 1, "c": 2}, "d": [1], "e": 0}
 
@@ -106,9 +106,9 @@
     whole = min(whole, old + new)
     average = 0.0
     for hits in range(max(whole - old, 0), min(whole, new) + 1):
-        bet = Odds()
-        bet.see(Block([old, new], [whole - hits, hits]), borne)
-        average += bet.wealth * (_likelihood(old, new, whole, hits, borne) if 0 < whole < old + new else 1.0)
+        bet = OddsRatioTest()
+        bet.observe(ComparisonWindow([old, new], [whole - hits, hits]), borne)
+        average += bet.e_value * (_likelihood(old, new, whole, hits, borne) if 0 < whole < old + new else 1.0)
         if not 0 < whole < old + new:
             break
     assert average <= 1.0 + 1e-6
@@ -160,12 +160,12 @@
     fleet.carry_out(driver.stop(), log)
     assert driver.finished and 0 < sum(driver.document.lines.values()) < 4
     driver = Driver(driver.plan, "d", log)  # the one that `start` begins later
-    fleet.carry_out(driver.go_on(), log)
+    fleet.carry_out(driver.resume(), log)
     for _ in range(60):
         fleet.advance_second()
         fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
     assert driver.phase is Phase.DONE and {node.running for node in fleet.nodes.values()} == {1}
-    fleet.carry_out(Driver(driver.plan, "d", log).undo(), log)
+    fleet.carry_out(Driver(driver.plan, "d", log).roll_back(), log)
     driver = Driver(driver.plan, "d", log)
     for _ in range(30):
         fleet.advance_second()
@@ -190,7 +190,7 @@
     plan = virtual.make_plan(4)
     change = msgspec.structs.replace(plan.change, settings={}, program=("p",), speaks={"members": 2})
     plan = msgspec.structs.replace(plan, change=change)
-    assert unsound(plan) is None
+    assert validation_error(plan) is None
     driver = Driver(plan, "d")
     for _ in range(5):
         fleet.advance_second()
@@ -211,7 +211,7 @@
     store = Store(tmp_path / "log")
     store.write(Record(Phase.CLAIM.value, 0, "claims", Claim(1, "d")), 1.0)
     assert store.records()[0][1].claim == Claim(1, "d")
-    assert store.about("driver", "a") == store.about("driver", "b") == "a"
+    assert store.get_or_set("driver", "a") == store.get_or_set("driver", "b") == "a"
     store.close()
     with sqlite3.connect(tmp_path / "log") as base:
         base.execute("update records set text = 'x'")
--- a/thornladder/rollout/core.py
+++ b/thornladder/rollout/core.py
@@ -1,8 +1,9 @@
-"""Drives a change: what was seen of the nodes in, records to be written and orders to be sent out. No I/O.
+"""Rollout driver as a pure state machine: node reports in, log records and messages to send out. No I/O.
 
-All it knows comes from its records, so one that was killed at any point goes on as the one before it would
-have: a document is written before it is sent, may be sent again without harm, and is sent to whoever holds an
-older one at each step. Nothing is done on a claim that more than half of the written list has not granted.
+The driver's whole state is in its log records, so a driver that restarts after a crash at any point
+continues where the previous one stopped. A document is logged before it is sent, sending it again is
+harmless, and every step resends it to nodes that hold an older one. The driver changes no node before a
+majority of the nodes listed in the plan has granted its claim.
 """
 
 from __future__ import annotations
@@ -15,48 +16,52 @@
 import msgspec
 
 from thornladder.rollout.judge import Finding, Judge
-from thornladder.rollout.orders import Claim, Document, Variant, merged
+from thornladder.rollout.orders import Claim, Document, Variant, apply_merge_patch
 from thornladder.rollout.plan import Plan
 
 
 class Phase(Enum):
+    """Where a rollout stands; the values are stored in the log."""
+
     CLAIM = "claiming"
-    BEFORE = "watching what is"
-    ACT = "changing"
-    WATCH = "watching"
+    BASELINE = "watching what is"
+    APPLY = "changing"
+    OBSERVE = "watching"
     HOLD = "on hold"
     ROLL_BACK = "undoing"
     DONE = "done"
     ROLLED_BACK = "undone"
-    OVERTAKEN = "overtaken"
+    SUPERSEDED = "overtaken"
     REFUSED = "refused"
 
 
-ENDS = frozenset({Phase.DONE, Phase.ROLLED_BACK, Phase.OVERTAKEN, Phase.REFUSED, Phase.HOLD})
-AWAY = 30.0  # seconds unseen after which a node that was ordered is not waited for: it takes it when back
-STALE = 5.0  # seconds: older counters are those of a node that is paused, and are not judged
+# The driver exits in these phases; an operator may resume from HOLD.
+FINAL_PHASES = frozenset({Phase.DONE, Phase.ROLLED_BACK, Phase.SUPERSEDED, Phase.REFUSED, Phase.HOLD})
+# A changed node that was unreachable for this long is no longer waited for; it gets the document on return.
+UNREACHABLE_AFTER_SECONDS = 30.0
+STALE_COUNTERS_SECONDS = 5.0  # older counters come from a paused node and are not judged
 
 
-class Seen(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a node's keeper tells."""
+class NodeReport(msgspec.Struct, frozen=True, omit_defaults=True):
+    """State of one node as its keeper reports it."""
 
     name: str
     document: Document | None = None
     claim: Claim = Claim(0, "")
-    running: int = -1  # variant that serves; -1: none does
-    refused: str = ""  # why it does not run what its line says
-    crashes: int = 0  # ends that nobody asked for, so far
-    speaks: dict[str, int] = {}
+    running: int = -1  # index of the variant that serves; -1: none does
+    refused: str = ""  # why the node does not run the variant assigned to it
+    crashes: int = 0  # unrequested exits of the node so far
+    speaks: dict[str, int] = {}  # protocol versions
     counters: dict[str, Any] | None = None
-    age: float = 0.0  # seconds of those counters
+    age: float = 0.0  # of the counters, in seconds
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         return self.running >= 0
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One line of the log. `document`: written before it is sent."""
+    """One entry of the driver's log. A document is logged here before it is sent."""
 
     phase: str
     stage: int
@@ -65,315 +70,374 @@
     document: Document | None = None
 
 
-class Write(NamedTuple):
+class WriteRecord(NamedTuple):
+    """Append a record to the log and sync it to disk."""
+
     record: Record
 
 
-class Ask(NamedTuple):
-    """A claim, of these nodes."""
+class RequestClaim(NamedTuple):
+    """Ask the named nodes to grant a claim."""
 
     names: tuple[str, ...]
     claim: Claim
 
 
-class Tell(NamedTuple):
+class SendDocument(NamedTuple):
+    """Send a document to the named nodes."""
+
     names: tuple[str, ...]
     document: Document
 
 
-Act = Write | Ask | Tell
+Action = WriteRecord | RequestClaim | SendDocument
 
 
 class Driver:
+    """Decides the next actions of one rollout; the caller carries them out in order."""
+
     def __init__(
         self, plan: Plan, driver: str, records: Sequence[Record] = (), judge: Judge | None = None
     ) -> None:
-        """`driver`: a name that no other driver has, ever. `records`: of the log, in order."""
+        """`driver` is a globally unique name that is never reused; `records` is the log so far, in order."""
         self.plan, self.name = plan, driver
-        self.order = plan.rollout_order()
-        self.sizes = plan.stage_sizes()
+        self.rollout_order = plan.rollout_order()
+        self.stage_sizes = plan.stage_sizes()
         self.judge = judge or Judge(plan.worse, plan.false_stops)
         self.phase, self.stage, self.message = Phase.CLAIM, 0, ""
         self.claim: Claim | None = None
         self.document: Document | None = None
-        self.began: float | None = None  # the phase, as this process saw it
-        self.ordered: dict[str, float] = {}  # nodes sent something new, since when they are waited for
-        self.waiting_reason = ""  # for what
+        self.phase_started_at: float | None = None  # in this process, not in the one that logged the phase
+        self.pending_since: dict[str, float] = {}  # when each node that is still changing got its assignment
+        self.waiting_reason = ""
         self.paused = False
-        self.harmed = 0
+        self.harmed_invocations = 0
         for record in records:
             self.phase, self.stage, self.message = Phase(record.phase), record.stage, record.words
             self.claim = record.claim or self.claim
             self.document = record.document or self.document
-        self.resumed = bool(records) and self.phase in (Phase.ACT, Phase.WATCH, Phase.ROLL_BACK)
+        # A restarted driver has lost the judge's baseline.
+        self.baseline_lost = bool(records) and self.phase in (Phase.APPLY, Phase.OBSERVE, Phase.ROLL_BACK)
 
     @property
     def finished(self) -> bool:
-        return self.phase in ENDS
+        return self.phase in FINAL_PHASES
 
     @property
-    def new(self) -> int:
-        """The variant that is being brought in."""
+    def new_variant(self) -> int:
+        """Index of the variant being rolled out."""
         return len(self.document.variants) - 1
 
-    def fresh(self) -> list[str]:
-        """Nodes whose line is the new variant."""
-        return [name for name in self.order if self.document and self.document.lines.get(name) == self.new]
+    def new_variant_nodes(self) -> list[str]:
+        """Nodes that are assigned the new variant."""
+        return [
+            name
+            for name in self.rollout_order
+            if self.document and self.document.lines.get(name) == self.new_variant
+        ]
 
-    # Orders of a person.
+    # Operator requests.
 
-    def stop(self, words: str = "a person stopped it") -> list[Act]:
-        return [] if self.finished or self.document is None else self._halt(words)
+    def stop(self, message: str = "a person stopped it") -> list[Action]:
+        """Holds or rolls back, as the plan's `at_stop` says."""
+        return [] if self.finished or self.document is None else self._stop(message)
 
-    def undo(self) -> list[Act]:
-        if self.document is None or self.phase in (Phase.OVERTAKEN, Phase.REFUSED, Phase.ROLLED_BACK):
+    def roll_back(self) -> list[Action]:
+        if self.document is None or self.phase in (Phase.SUPERSEDED, Phase.REFUSED, Phase.ROLLED_BACK):
             return []
-        return self._undo("a person has it undone")
+        return self._start_rollback("a person has it undone")
 
-    def go_on(self) -> list[Act]:
-        """After a hold."""
+    def resume(self) -> list[Action]:
+        """Continues after a pause or a hold."""
         self.paused = False
         if self.phase is not Phase.HOLD:
             return []
-        self.judge, self.resumed = Judge(self.plan.worse, self.plan.false_stops), True
-        return self._write(Phase.ACT, self.stage, "a person has it go on", self._revised("going"))
+        self.judge, self.baseline_lost = Judge(self.plan.worse, self.plan.false_stops), True
+        return self._transition(
+            Phase.APPLY, self.stage, "a person has it go on", self._next_revision("going")
+        )
 
-    # What was seen.
+    # Periodic step.
 
-    def step(self, now: float, seen: Mapping[str, Seen]) -> list[Act]:
-        """Once a second or so. `seen`: who answered."""
+    def step(self, now: float, reports: Mapping[str, NodeReport]) -> list[Action]:
+        """Advances the rollout; called about once a second with the reports of all nodes that answered."""
         self.waiting_reason = ""
-        if self.began is None:
-            self.began = now
-        seen = {name: each for name, each in seen.items() if name in self.plan.nodes}
-        if self.phase in (Phase.OVERTAKEN, Phase.REFUSED):
+        if self.phase_started_at is None:
+            self.phase_started_at = now
+        reports = {name: report for name, report in reports.items() if name in self.plan.nodes}
+        if self.phase in (Phase.SUPERSEDED, Phase.REFUSED):
             return []
-        if overtaken := self._overtaken(seen):
-            return self._end(Phase.OVERTAKEN, overtaken)
-        acts = self._again(seen)
-        few = len(seen) < math.ceil(self.plan.see * len(self.plan.nodes) - 1e-9)
-        if few and not self.finished:
-            self.waiting_reason = f"sees {len(seen)} of {len(self.plan.nodes)} nodes"
-            self._quiet(now)
-            return acts
+        if superseded := self._superseded_reason(reports):
+            return self._finish(Phase.SUPERSEDED, superseded)
+        actions = self._resend_document(reports)
+        too_few = len(reports) < math.ceil(self.plan.see * len(self.plan.nodes) - 1e-9)
+        if too_few and not self.finished:
+            self.waiting_reason = f"sees {len(reports)} of {len(self.plan.nodes)} nodes"
+            self._restart_observation(now)
+            return actions
         if self.phase is Phase.CLAIM:
-            return acts + self._claim(seen)
+            return actions + self._acquire_claim(reports)
         if self.paused or self.finished:
-            self.waiting_reason = "paused by a person" if self.paused else ""
-            return acts
-        if self.phase is Phase.BEFORE:
-            return acts + self._before(now, seen)
-        self._look(now, seen)
+            self.waiting_reason = "paused by an operator" if self.paused else ""
+            return actions
+        if self.phase is Phase.BASELINE:
+            return actions + self._observe_baseline(now, reports)
+        self._update_judge(now, reports)
         if self.phase is Phase.ROLL_BACK:
-            return acts + self._bring(now, seen, self.document.before)
-        if trouble := self._trouble(now, seen):
-            return acts + self._halt(trouble)
-        if self.phase is Phase.ACT:
-            lines = dict.fromkeys(self.order[: self.sizes[self.stage]], self.new)
-            return acts + self._bring(now, seen, lines)
-        return acts + self._watch(now)
-
-    def _overtaken(self, seen: Mapping[str, Seen]) -> str:
-        for name, each in sorted(seen.items()):
-            number = max(each.claim.number, each.document.number if each.document else 0)
+            return actions + self._change_next_nodes(now, reports, self.document.before)
+        if reason := self._stop_reason(now, reports):
+            return actions + self._stop(reason)
+        if self.phase is Phase.APPLY:
+            assignment = dict.fromkeys(self.rollout_order[: self.stage_sizes[self.stage]], self.new_variant)
+            return actions + self._change_next_nodes(now, reports, assignment)
+        return actions + self._observe_stage(now)
+
+    def _superseded_reason(self, reports: Mapping[str, NodeReport]) -> str:
+        for name, report in sorted(reports.items()):
+            number = max(report.claim.number, report.document.number if report.document else 0)
             if self.claim is not None and number > self.claim.number:
                 return f"change {number} has begun: {name} says so"
         return ""
 
-    def _again(self, seen: Mapping[str, Seen]) -> list[Act]:
-        """To whoever holds an older one: what is lost or came while a node was away."""
+    def _resend_document(self, reports: Mapping[str, NodeReport]) -> list[Action]:
+        """Sends the document to nodes with an older one: a message was lost, or the node was away."""
         if self.document is None:
             return []
-        behind = tuple(
-            name for name, each in sorted(seen.items())
-            if each.document is None or each.document.order < self.document.order
+        outdated = tuple(
+            name for name, report in sorted(reports.items())
+            if report.document is None or report.document.version < self.document.version
         )  # fmt: skip
-        return [Tell(behind, self.document)] if behind else []
+        return [SendDocument(outdated, self.document)] if outdated else []
 
-    # Each phase.
+    # Phases.
 
-    def _claim(self, seen: Mapping[str, Seen]) -> list[Act]:
+    def _acquire_claim(self, reports: Mapping[str, NodeReport]) -> list[Action]:
+        """Collects grants; with a majority of the listed nodes, writes the first document of this change."""
         if self.claim is None:
-            return self._first_claim(seen)
-        granted = [name for name, each in seen.items() if each.claim == self.claim]
-        rivals = [each.claim.driver for each in seen.values()
-                  if each.claim.number == self.claim.number and each.claim != self.claim]  # fmt: skip
+            return self._request_new_claim(reports)
+        granted = [name for name, report in reports.items() if report.claim == self.claim]
+        rivals = [report.claim.driver for report in reports.values()
+                  if report.claim.number == self.claim.number and report.claim != self.claim]  # fmt: skip
         if 2 * len(granted) <= len(self.plan.nodes):
             if 2 * len(rivals) >= len(self.plan.nodes) or len(granted) + len(rivals) == len(self.plan.nodes):
-                return self._end(Phase.OVERTAKEN, f"another driver has begun change {self.claim.number}")
-            asked = tuple(name for name in sorted(seen) if name not in granted)
-            self.waiting_reason = f"{len(granted)} of {len(self.plan.nodes)} nodes take its orders"
-            return [Ask(asked, self.claim)]
-        held = [each.document for each in seen.values() if each.document]
-        base = max(held, key=lambda document: document.order, default=None)
-        if wrong := self._unfit(seen, base):
-            return self._end(Phase.REFUSED, wrong)
+                return self._finish(Phase.SUPERSEDED, f"another driver has begun change {self.claim.number}")
+            missing = tuple(name for name in sorted(reports) if name not in granted)
+            self.waiting_reason = f"{len(granted)} of {len(self.plan.nodes)} nodes granted the claim"
+            return [RequestClaim(missing, self.claim)]
+        documents = [report.document for report in reports.values() if report.document]
+        base = max(documents, key=lambda document: document.version, default=None)
+        if refusal := self._refusal_reason(reports, base):
+            return self._finish(Phase.REFUSED, refusal)
         change = self.plan.change
         variants = base.variants if base else [Variant("as the keepers' files say")]
-        lines = {name: (base.lines.get(name, 0) if base else 0) for name in self.order}
-        new = Variant(change.name, self._patch(variants, lines), change.program)
-        document = Document(self.claim.number, 1, self.name, change.name, [*variants, new], lines,
-                            dict(lines), "going")  # fmt: skip
-        phase = Phase.BEFORE if self.plan.before > 0.0 else Phase.ACT
-        if phase is Phase.ACT:
-            self.judge.begin()
-        return self._write(phase, 0, "begun", document)
-
-    def _first_claim(self, seen: Mapping[str, Seen]) -> list[Act]:
-        highest = max((max(each.claim.number, each.document.number if each.document else 0)
-                       for each in seen.values()), default=0)  # fmt: skip
+        assignment = {name: (base.lines.get(name, 0) if base else 0) for name in self.rollout_order}
+        new_variant = Variant(change.name, self._combined_patch(variants, assignment), change.program)
+        document = Document(self.claim.number, 1, self.name, change.name, [*variants, new_variant],
+                            assignment, dict(assignment), "going")  # fmt: skip
+        phase = Phase.BASELINE if self.plan.before > 0.0 else Phase.APPLY
+        if phase is Phase.APPLY:
+            self.judge.start_comparison()
+        return self._transition(phase, 0, "begun", document)
+
+    def _request_new_claim(self, reports: Mapping[str, NodeReport]) -> list[Action]:
+        highest = max((max(report.claim.number, report.document.number if report.document else 0)
+                       for report in reports.values()), default=0)  # fmt: skip
         self.claim = Claim(highest + 1, self.name)
         record = Record(Phase.CLAIM.value, 0, f"claims number {self.claim.number}", self.claim)
-        return [Write(record), Ask(tuple(sorted(seen)), self.claim)]
+        return [WriteRecord(record), RequestClaim(tuple(sorted(reports)), self.claim)]
 
-    def _patch(self, variants: Sequence[Variant], lines: Mapping[str, int]) -> dict[str, Any]:
-        """On top of what the nodes run now, where that is one thing."""
-        base = {lines[name] for name in lines}
-        under = variants[next(iter(base))].patch if len(base) == 1 else {}
-        return merged(under, self.plan.change.settings) if self.plan.change.settings else dict(under)
+    def _combined_patch(self, variants: Sequence[Variant], assignment: Mapping[str, int]) -> dict[str, Any]:
+        """The plan's settings on top of the current patch, if all nodes run the same variant."""
+        current = {assignment[name] for name in assignment}
+        base = variants[next(iter(current))].patch if len(current) == 1 else {}
+        return apply_merge_patch(base, self.plan.change.settings) if self.plan.change.settings else dict(base)
 
-    def _unfit(self, seen: Mapping[str, Seen], base: Document | None) -> str:
-        """Why this change may not begin on this fleet."""
+    def _refusal_reason(self, reports: Mapping[str, NodeReport], base: Document | None) -> str:
+        """Why this change may not start on this fleet; empty if it may."""
         if base is not None and base.stands not in ("done", "undone") and not self.plan.over_stopped:
             return f"change {base.number} ({base.change}) stands {base.stands}: undo it, or say over_stopped"
         speaks = self.plan.change.speaks
-        for name, each in sorted(seen.items()):
-            for what, version in speaks.items():
-                if each.speaks.get(what, version) != version:
-                    return (f"the new program speaks version {version} of {what}, {name} version "
-                            f"{each.speaks[what]}: they could not live side by side")  # fmt: skip
+        for name, report in sorted(reports.items()):
+            for protocol, version in speaks.items():
+                if report.speaks.get(protocol, version) != version:
+                    return (f"the new program speaks version {version} of {protocol}, {name} version "
+                            f"{report.speaks[protocol]}: they could not live side by side")  # fmt: skip
         return ""
 
-    def _before(self, now: float, seen: Mapping[str, Seen]) -> list[Act]:
-        self.judge.learn(_judged(seen))
-        if now - self.began < self.plan.before:
+    def _observe_baseline(self, now: float, reports: Mapping[str, NodeReport]) -> list[Action]:
+        self.judge.add_baseline(_current_counters(reports))
+        if now - self.phase_started_at < self.plan.before:
             return []
-        self.judge.begin()
-        return self._write(Phase.ACT, 0, "stage 1 begins")
+        self.judge.start_comparison()
+        return self._transition(Phase.APPLY, 0, "stage 1 begins")
+
+    def _change_next_nodes(
+        self, now: float, reports: Mapping[str, NodeReport], target: Mapping[str, int]
+    ) -> list[Action]:
+        """Moves the next nodes to their variant in `target`, within the plan's limit of unavailable nodes.
 
-    def _bring(self, now: float, seen: Mapping[str, Seen], lines: Mapping[str, int]) -> list[Act]:
-        """The next few nodes to what `lines` says; what follows once all have it."""
+        Enters the next phase once all of them run it.
+        """
         document = self.document
-        out = [name for name, since in self.ordered.items() if not self._settled(name, seen, now, since)]
-        out += [name for name, each in seen.items() if not each.serves and name not in out]
-        behind = [name for name in self.order if name in lines and document.lines[name] != lines[name]]
-        # Those that do not serve are out anyway. Guards against a fleet that ends at its start, never undone.
-        chosen = [name for name in behind if name in seen and not seen[name].serves]
-        chosen += [name for name in behind if name not in chosen][: max(self.plan.out - len(out), 0)]
+        unavailable = [
+            name
+            for name, since in self.pending_since.items()
+            if not self._has_converged(name, reports, now, since)
+        ]
+        unavailable += [
+            name for name, report in reports.items() if not report.is_serving and name not in unavailable
+        ]
+        outdated = [
+            name for name in self.rollout_order if name in target and document.lines[name] != target[name]
+        ]
+        # Nodes that do not serve are changed regardless of the limit. Otherwise a variant that crashes at
+        # start on every node would exhaust the limit and could never be rolled back.
+        chosen = [name for name in outdated if name in reports and not reports[name].is_serving]
+        chosen += [name for name in outdated if name not in chosen][
+            : max(self.plan.out - len(unavailable), 0)
+        ]
         if chosen:
-            self.ordered.update(dict.fromkeys(chosen, now))
-            revised = self._revised(lines={**document.lines, **{name: lines[name] for name in chosen}})
+            self.pending_since.update(dict.fromkeys(chosen, now))
+            revised = self._next_revision(
+                assignment={**document.lines, **{name: target[name] for name in chosen}}
+            )
             verb = "undone at" if self.phase is Phase.ROLL_BACK else "changed at"
-            return self._write(self.phase, self.stage, f"{verb} {', '.join(chosen)}", revised)
-        if behind or [name for name in out if name in self.ordered]:
-            self.waiting_reason = f"waits for {', '.join(sorted(out)[:5])}"
+            return self._transition(self.phase, self.stage, f"{verb} {', '.join(chosen)}", revised)
+        if outdated or [name for name in unavailable if name in self.pending_since]:
+            self.waiting_reason = f"waits for {', '.join(sorted(unavailable)[:5])}"
             return []
         if self.phase is Phase.ROLL_BACK:
-            return self._write(Phase.ROLLED_BACK, self.stage, "undone", self._revised("undone"))
-        self.judge.new_stage()
-        words = f"stage {self.stage + 1}: watching {len(self.fresh())} nodes"
-        return self._write(Phase.WATCH, self.stage, words)
-
-    def _settled(self, name: str, seen: Mapping[str, Seen], now: float, since: float) -> bool:
-        each = seen.get(name)
-        if each is None:
-            return now - since > AWAY
-        return self._runs(each) == self.document.lines[name]
-
-    def _runs(self, each: Seen) -> int:
-        """The variant that serves there; what another change calls by that number is none."""
-        same = each.document is not None and each.document.number == self.document.number
-        return each.running if same else -1
-
-    def _look(self, now: float, seen: Mapping[str, Seen]) -> None:
-        if self.resumed:
-            self.judge.begin_anew(_judged(seen))
-            self.resumed = False
-        fresh = {name for name, each in seen.items() if self._runs(each) == self.new}
-        # Neither side while it is on its way from one to the other.
-        told = {name: each for name, each in _judged(seen).items()
-                if self._runs(seen[name]) == self.document.lines[name]}  # fmt: skip
-        crashes = {name: each.crashes for name, each in seen.items()}
-        self.judge.see(now, told, fresh, crashes, set(self.fresh()))
-
-    def _trouble(self, now: float, seen: Mapping[str, Seen]) -> str:
-        for name in self.fresh():
-            each = seen.get(name)
-            if each is not None and each.refused:
-                return f"{name} does not run it: {each.refused}"
-        for name, since in list(self.ordered.items()):
-            each = seen.get(name)
-            if each is not None and self._runs(each) == self.document.lines[name]:
-                del self.ordered[name]
-            elif each is not None and now - since > self.plan.ready:
+            return self._transition(Phase.ROLLED_BACK, self.stage, "undone", self._next_revision("undone"))
+        self.judge.start_stage()
+        message = f"stage {self.stage + 1}: watching {len(self.new_variant_nodes())} nodes"
+        return self._transition(Phase.OBSERVE, self.stage, message)
+
+    def _has_converged(self, name: str, reports: Mapping[str, NodeReport], now: float, since: float) -> bool:
+        """Whether the node runs its assigned variant, or has been unreachable for too long to wait for."""
+        report = reports.get(name)
+        if report is None:
+            return now - since > UNREACHABLE_AFTER_SECONDS
+        return self._running_variant(report) == self.document.lines[name]
+
+    def _running_variant(self, report: NodeReport) -> int:
+        """Index of the variant that serves there, or -1.
+
+        Indexes of another change's document mean something else, so they count as -1.
+        """
+        same_change = report.document is not None and report.document.number == self.document.number
+        return report.running if same_change else -1
+
+    def _update_judge(self, now: float, reports: Mapping[str, NodeReport]) -> None:
+        if self.baseline_lost:
+            self.judge.start_without_baseline(_current_counters(reports))
+            self.baseline_lost = False
+        on_new = {
+            name for name, report in reports.items() if self._running_variant(report) == self.new_variant
+        }
+        # A node that is still changing counts for neither side.
+        counters = {name: counters for name, counters in _current_counters(reports).items()
+                    if self._running_variant(reports[name]) == self.document.lines[name]}  # fmt: skip
+        crashes = {name: report.crashes for name, report in reports.items()}
+        self.judge.observe(now, counters, on_new, crashes, set(self.new_variant_nodes()))
+
+    def _stop_reason(self, now: float, reports: Mapping[str, NodeReport]) -> str:
+        """Why the rollout must stop; empty if it may continue. Also forgets nodes that have converged."""
+        for name in self.new_variant_nodes():
+            report = reports.get(name)
+            if report is not None and report.refused:
+                return f"{name} does not run it: {report.refused}"
+        for name, since in list(self.pending_since.items()):
+            report = reports.get(name)
+            if report is not None and self._running_variant(report) == self.document.lines[name]:
+                del self.pending_since[name]
+            elif report is not None and now - since > self.plan.ready:
                 return f"{name} was not ready after {self.plan.ready:g} s"
         found = self.judge.finding()
-        if found.worse:
-            return f"new nodes do worse: {found.most}, by {found.by:+.3f} on average"
+        if found.regressed:
+            return f"new nodes do worse: {found.top_metric}, by {found.mean_difference:+.3f} on average"
         return ""
 
-    def _watch(self, now: float) -> list[Act]:
+    def _observe_stage(self, now: float) -> list[Action]:
+        """Ends the stage once it was observed long enough, with enough invocations and a clear result."""
         plan, found = self.plan, self.judge.finding()
-        watched = now - self.began
-        taken = self.judge.taken[1]
-        if watched < plan.watch:
-            self.waiting_reason = f"watched for {watched:.0f} of {plan.watch:.0f} s"
+        observed_seconds = now - self.phase_started_at
+        invocations = self.judge.stage_invocations[1]
+        if observed_seconds < plan.watch:
+            self.waiting_reason = f"watched for {observed_seconds:.0f} of {plan.watch:.0f} s"
             return []
-        why = ""
-        if taken < plan.least:
-            why = f"saw too little: {taken} of {plan.least} invocations at new nodes"
-        elif short := self.judge.short(plan.least_each):
-            why = f"saw too little of {', '.join(short)}: less than {plan.least_each} at new nodes"
-        elif found.doubt:
-            why = f"is in doubt: {found.most}, by {found.by:+.3f} on average"
-        if why and watched > plan.longest * plan.watch:
-            return self._write(Phase.HOLD, self.stage, f"stage {self.stage + 1} {why}", self._revised("hold"))
-        if why:
-            self.waiting_reason = f"stage {self.stage + 1} {why}"
+        reason = ""
+        if invocations < plan.least:
+            reason = f"saw too little: {invocations} of {plan.least} invocations at new nodes"
+        elif undersampled := self.judge.undersampled_offerings(plan.least_each):
+            reason = f"saw too little of {', '.join(undersampled)}: less than {plan.least_each} at new nodes"
+        elif found.inconclusive:
+            reason = f"is in doubt: {found.top_metric}, by {found.mean_difference:+.3f} on average"
+        if reason and observed_seconds > plan.longest * plan.watch:
+            return self._transition(
+                Phase.HOLD, self.stage, f"stage {self.stage + 1} {reason}", self._next_revision("hold")
+            )
+        if reason:
+            self.waiting_reason = f"stage {self.stage + 1} {reason}"
             return []
-        if self.stage + 1 < len(self.sizes):
-            return self._write(Phase.ACT, self.stage + 1, f"stage {self.stage + 2} begins")
-        return self._write(Phase.DONE, self.stage, "done", self._revised("done"))
+        if self.stage + 1 < len(self.stage_sizes):
+            return self._transition(Phase.APPLY, self.stage + 1, f"stage {self.stage + 2} begins")
+        return self._transition(Phase.DONE, self.stage, "done", self._next_revision("done"))
 
-    # Steps.
+    # Transitions.
 
-    def _halt(self, words: str) -> list[Act]:
+    def _stop(self, message: str) -> list[Action]:
         if self.plan.at_stop == "undo":
-            return self._undo(f"stopped: {words}")
-        return self._write(Phase.HOLD, self.stage, f"stopped: {words}", self._revised("hold"))
+            return self._start_rollback(f"stopped: {message}")
+        return self._transition(Phase.HOLD, self.stage, f"stopped: {message}", self._next_revision("hold"))
 
-    def _undo(self, words: str) -> list[Act]:
-        self.ordered.clear()
-        return self._write(Phase.ROLL_BACK, self.stage, words, self._revised("undoing"))
+    def _start_rollback(self, message: str) -> list[Action]:
+        self.pending_since.clear()
+        return self._transition(Phase.ROLL_BACK, self.stage, message, self._next_revision("undoing"))
 
-    def _quiet(self, now: float) -> None:
-        """Time in which too few were seen is not time in which the new was watched."""
-        if self.phase in (Phase.WATCH, Phase.BEFORE):
-            self.began = now
+    def _restart_observation(self, now: float) -> None:
+        """Restarts the observation time: periods with too few visible nodes do not count towards it."""
+        if self.phase in (Phase.OBSERVE, Phase.BASELINE):
+            self.phase_started_at = now
 
-    def _revised(self, stands: str = "", lines: Mapping[str, int] | None = None) -> Document:
+    def _next_revision(self, stands: str = "", assignment: Mapping[str, int] | None = None) -> Document:
         document = self.document
         return msgspec.structs.replace(
             document, revision=document.revision + 1, stands=stands or document.stands,
-            lines=dict(lines or document.lines),
+            lines=dict(assignment or document.lines),
         )  # fmt: skip
 
-    def _write(self, phase: Phase, stage: int, words: str, document: Document | None = None) -> list[Act]:
-        self.phase, self.stage, self.message = phase, stage, words
-        self.began = None
-        acts: list[Act] = [Write(Record(phase.value, stage, words, None, document))]
+    def _transition(
+        self, phase: Phase, stage: int, message: str, document: Document | None = None
+    ) -> list[Action]:
+        """Enters a phase: logs it, then sends the new document, if any, to all nodes."""
+        self.phase, self.stage, self.message = phase, stage, message
+        self.phase_started_at = None
+        actions: list[Action] = [WriteRecord(Record(phase.value, stage, message, None, document))]
         if document is not None:
             self.document = document
-            acts.append(Tell(tuple(self.order), document))
-        return acts
-
-    def _end(self, phase: Phase, words: str) -> list[Act]:
-        self.phase, self.message = phase, words
-        return [Write(Record(phase.value, self.stage, words))]
-
-
-def _judged(seen: Mapping[str, Seen]) -> dict[str, dict[str, Any]]:
-    return {name: each.counters for name, each in seen.items() if each.counters and each.age < STALE}
-
-
-__all__ = ["Act", "Ask", "Driver", "Finding", "Phase", "Record", "Seen", "Tell", "Write"]
+            actions.append(SendDocument(tuple(self.rollout_order), document))
+        return actions
+
+    def _finish(self, phase: Phase, message: str) -> list[Action]:
+        """Enters a final phase without a document: this driver no longer owns the fleet."""
+        self.phase, self.message = phase, message
+        return [WriteRecord(Record(phase.value, self.stage, message))]
+
+
+def _current_counters(reports: Mapping[str, NodeReport]) -> dict[str, dict[str, Any]]:
+    """Counters by node, without stale ones."""
+    return {name: report.counters for name, report in reports.items()
+            if report.counters and report.age < STALE_COUNTERS_SECONDS}  # fmt: skip
+
+
+__all__ = [
+    "Action",
+    "RequestClaim",
+    "Driver",
+    "Finding",
+    "Phase",
+    "Record",
+    "NodeReport",
+    "SendDocument",
+    "WriteRecord",
+]
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -79,7 +79,7 @@
                 row[NACKED] += 1
             return come_back
 
-        return Onlooker(handler, self), turned
+        return CountingHandler(handler, self), turned
 
     def start(self, context: NodeContext) -> None:
         self.name, self.settings = context.name, context.settings
@@ -147,7 +147,7 @@
     return int(resident) * os.sysconf("SC_PAGE_SIZE")
 
 
-class Onlooker:
+class CountingHandler:
     """Passes everything on, and counts what is final."""
 
     def __init__(self, handler: InvocationHandler, counters: Counters) -> None:
--- a/thornladder/rollout/driver.py
+++ b/thornladder/rollout/driver.py
@@ -13,7 +13,15 @@
 
 from thornladder.asking import call
 from thornladder.fields import MalformedError
-from thornladder.rollout.core import Act, Ask, Driver, Phase, Seen, Tell, Write
+from thornladder.rollout.core import (
+    Action,
+    Driver,
+    NodeReport,
+    Phase,
+    RequestClaim,
+    SendDocument,
+    WriteRecord,
+)
 from thornladder.rollout.plan import Plan
 from thornladder.rollout.store import Store
 
@@ -23,7 +31,7 @@
 LAST = 10.0  # seconds at the end for those that hold an older order to have the last one
 
 # What the core asks to be done, just before and just after it is done: tests end the driver there.
-Watcher = Callable[[str, Act], None]
+Watcher = Callable[[str, Action], None]
 
 
 class Run:
@@ -32,9 +40,9 @@
     ) -> None:  # fmt: skip
         """Raises MalformedError where the log is another plan's, or damaged."""
         text = msgspec.json.encode(plan).decode()
-        if store.about("plan", text) != text:
+        if store.get_or_set("plan", text) != text:
             raise MalformedError("the log beside it is of another plan: undo that one, or move the log away")
-        name = store.about("driver", secrets.token_hex(8))
+        name = store.get_or_set("driver", secrets.token_hex(8))
         records = [record for _, record in store.records()]
         self.plan, self.store, self.say, self.watcher = plan, store, say, watcher
         self.driver = Driver(plan, name, records)
@@ -54,19 +62,19 @@
             self._tell()
             if self.driver.finished:
                 over_since = over_since or now
-                behind = any(isinstance(act, Tell) for act in acts)
+                behind = any(isinstance(act, SendDocument) for act in acts)
                 if not behind or now - over_since > LAST:
                     return self.driver.phase
             await anyio.sleep(max(STEP - (time.monotonic() - began), 0.0))
 
-    async def poll_keepers(self) -> dict[str, Seen]:
+    async def poll_keepers(self) -> dict[str, NodeReport]:
         """Who answers."""
-        seen: dict[str, Seen] = {}
+        seen: dict[str, NodeReport] = {}
 
         async def ask(name: str, address: str) -> None:
             data = await self._call(address, "/state", None)
             try:
-                told = msgspec.json.decode(data, type=Seen) if data is not None else None
+                told = msgspec.json.decode(data, type=NodeReport) if data is not None else None
             except (msgspec.MsgspecError, ValueError):
                 return
             if told is not None and told.name == name:
@@ -78,25 +86,25 @@
         return seen
 
     def _heed(self) -> None:
-        for word in self.store.wishes():
-            acts = {"pause": self._pause, "go-on": self.driver.go_on, "stop": self.driver.stop,
-                    "undo": self.driver.undo}[word]()  # fmt: skip
+        for word in self.store.pending_requests():
+            acts = {"pause": self._pause, "go-on": self.driver.resume, "stop": self.driver.stop,
+                    "undo": self.driver.roll_back}[word]()  # fmt: skip
             self.say(f"a person says {word}")
             for act in acts:
-                if isinstance(act, Write):
+                if isinstance(act, WriteRecord):
                     self.store.write(act.record, time.time())
-        self.store.heeded()
+        self.store.mark_requests_done()
 
-    def _pause(self) -> list[Act]:
+    def _pause(self) -> list[Action]:
         self.driver.paused = True
         return []
 
-    async def carry_out(self, acts: list[Act]) -> None:
+    async def carry_out(self, acts: list[Action]) -> None:
         """In order: what is written stands on the disk before anything is sent."""
         for act in acts:
             if self.watcher:
                 self.watcher("before", act)
-            if isinstance(act, Write):
+            if isinstance(act, WriteRecord):
                 self.store.write(act.record, time.time())
                 self.say(act.record.words)
             else:
@@ -104,8 +112,8 @@
             if self.watcher:
                 self.watcher("after", act)
 
-    async def _send(self, act: Ask | Tell) -> None:
-        path, what = ("/claim", act.claim) if isinstance(act, Ask) else ("/order", act.document)
+    async def _send(self, act: RequestClaim | SendDocument) -> None:
+        path, what = ("/claim", act.claim) if isinstance(act, RequestClaim) else ("/order", act.document)
         body = msgspec.json.encode(what)
         async with anyio.create_task_group() as group:
             for name in act.names:
@@ -137,7 +145,7 @@
     return file.with_suffix(".log.sqlite")
 
 
-def status(store: Store, seen: dict[str, Seen]) -> str:
+def status(store: Store, seen: dict[str, NodeReport]) -> str:
     """For a person: what was meant and done, and what each node runs."""
     lines = [f"{time.strftime('%H:%M:%S', time.localtime(at))}  {record.phase:18} {record.words}"
              for at, record in store.records()]  # fmt: skip
--- a/thornladder/rollout/explore.py
+++ b/thornladder/rollout/explore.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from thornladder.exploration import Result, breadth_first
-from thornladder.rollout.core import Ask, Driver, Phase, Record, Seen, Write
+from thornladder.rollout.core import Driver, NodeReport, Phase, Record, RequestClaim, WriteRecord
 from thornladder.rollout.judge import Judge
-from thornladder.rollout.orders import Claim, Document, Held
+from thornladder.rollout.orders import AcceptorState, Claim, Document
 from thornladder.rollout.plan import Change, Plan
 
 NODES = ("a", "b", "c")
 DRIVERS = ("x", "y")
 VIEWS = (NODES, ("a", "b"), ("c",))  # whom a look reaches
-MOST_FLYING = 3  # more are lost, as in a full queue
+MAX_IN_FLIGHT = 3  # more are lost, as in a full queue
 
 
 def make_plan(name: str) -> Plan:
@@ -29,18 +29,18 @@
                 watch=0.0, least=0, least_each=0, see=0.6, out=2, over_stopped=True)  # fmt: skip
 
 
-class Flying(NamedTuple):
+class Message(NamedTuple):
     node: str
     what: Claim | Document
 
 
 @dataclass
-class Spot:
-    held: dict[str, Held] = field(default_factory=lambda: {name: Held() for name in NODES})
+class State:
+    held: dict[str, AcceptorState] = field(default_factory=lambda: {name: AcceptorState() for name in NODES})
     logs: dict[str, list[Record]] = field(default_factory=lambda: {name: [] for name in DRIVERS})
     drivers: dict[str, Driver] = field(default_factory=dict)
     acts: dict[str, list] = field(default_factory=lambda: {name: [] for name in DRIVERS})
-    flying: list[Flying] = field(default_factory=list)
+    flying: list[Message] = field(default_factory=list)
     kills: int = 1
     now: float = 0.0
 
@@ -52,21 +52,21 @@
         return msgspec.msgpack.encode([self.held, logs, drivers, acts, self.flying, self.kills])
 
 
-class Trusting(Judge):
+class NoFindings(Judge):
     """Finds nothing: here it is about orders alone."""
 
-    def see(self, *given: object, **more: object) -> None:
+    def observe(self, *given: object, **more: object) -> None:
         return None
 
 
-def initial_state(make: type[Driver]) -> Spot:
-    spot = Spot()
+def initial_state(make: type[Driver]) -> State:
+    spot = State()
     for name in DRIVERS:
-        spot.drivers[name] = make(make_plan(name), name, judge=Trusting(make_plan(name).worse, 0.01))
+        spot.drivers[name] = make(make_plan(name), name, judge=NoFindings(make_plan(name).worse, 0.01))
     return spot
 
 
-def possible_steps(spot: Spot) -> list[str]:
+def possible_steps(spot: State) -> list[str]:
     can = [f"{what} {k}" for k in range(len(spot.flying)) for what in ("deliver", "lose")]
     for name, driver in spot.drivers.items():
         if spot.acts[name]:
@@ -78,19 +78,19 @@
     return can
 
 
-def apply_step(spot: Spot, choice: str, make: type[Driver]) -> str:
+def apply_step(spot: State, choice: str, make: type[Driver]) -> str:
     """Does it, in place; what is broken after it, if anything is."""
     what, which, *rest = choice.split()
     if what in ("deliver", "lose"):
         each = spot.flying.pop(int(which))
         if what == "lose":
             return ""
-        held, before = spot.held[each.node], spot.held[each.node].order
+        held, before = spot.held[each.node], spot.held[each.node].version
         if isinstance(each.what, Claim):
             held.grant(each.what)
         else:
-            held.take(each.what)
-        return "a node went back to an older order" if held.order < before else broken(spot)
+            held.accept(each.what)
+        return "a node went back to an older order" if held.version < before else broken(spot)
     driver = spot.drivers[which]
     if what == "look":
         spot.now += 100.0  # longer than any wait
@@ -98,34 +98,34 @@
         spot.acts[which] = list(driver.step(spot.now, seen))
     elif what == "act":
         act = spot.acts[which].pop(0)
-        if isinstance(act, Write):
+        if isinstance(act, WriteRecord):
             spot.logs[which].append(act.record)
         else:
-            sent = act.claim if isinstance(act, Ask) else act.document
-            spot.flying += [Flying(name, sent) for name in act.names]
-            del spot.flying[MOST_FLYING:]
+            sent = act.claim if isinstance(act, RequestClaim) else act.document
+            spot.flying += [Message(name, sent) for name in act.names]
+            del spot.flying[MAX_IN_FLIGHT:]
     else:
         spot.kills -= 1
         spot.acts[which] = []
         plan = make_plan(which)
-        spot.drivers[which] = make(plan, which, spot.logs[which], Trusting(plan.worse, 0.01))
+        spot.drivers[which] = make(plan, which, spot.logs[which], NoFindings(plan.worse, 0.01))
     return broken(spot)
 
 
-def _seen(name: str, held: Held) -> Seen:
+def _seen(name: str, held: AcceptorState) -> NodeReport:
     running = held.document.lines[name] if held.document else 0
-    return Seen(name, held.document, held.claim, running)
+    return NodeReport(name, held.document, held.claim, running)
 
 
-def broken(spot: Spot) -> str:
+def broken(spot: State) -> str:
     written: dict[tuple[int, int], Document] = {}
     for log in spot.logs.values():
         for record in log:
             document = record.document
-            if document is not None and written.setdefault(document.order, document) != document:
-                return f"two documents are both {document.order[0]}.{document.order[1]}"
+            if document is not None and written.setdefault(document.version, document) != document:
+                return f"two documents are both {document.version[0]}.{document.version[1]}"
     for name, held in spot.held.items():
-        if held.document is not None and written.get(held.document.order) != held.document:
+        if held.document is not None and written.get(held.document.version) != held.document:
             return f"{name} holds what no driver has written"
     return ""
 
@@ -137,7 +137,7 @@
     )
 
 
-def run_to_quiet(spot: Spot, make: type[Driver] = Driver, most: int = 200) -> str:
+def run_to_quiet(spot: State, make: type[Driver] = Driver, most: int = 200) -> str:
     """From here on all goes well: what the fleet ends in, where that is nothing stated."""
     for round in range(most):
         for name in (*DRIVERS, DRIVERS[round % 2]):
@@ -148,7 +148,7 @@
                     return wrong
             if not spot.drivers[name].finished or round > most - 3:
                 apply_step(spot, f"look {name} 0", make)
-    orders = {held.order for held in spot.held.values()}
+    orders = {held.version for held in spot.held.values()}
     phases = [driver.phase for driver in spot.drivers.values()]
     if not all(driver.finished for driver in spot.drivers.values()):
         return f"a driver never ends: {[phase.value for phase in phases]}"
@@ -160,19 +160,19 @@
 class ActsFirst(Driver):
     """Planted: sends before it writes."""
 
-    def _write(self, *given: object, **more: object) -> list:
-        return list(reversed(super()._write(*given, **more)))
+    def _transition(self, *given: object, **more: object) -> list:
+        return list(reversed(super()._transition(*given, **more)))
 
 
 class AnyGrant(Driver):
     """Planted: begins on the grant of one node."""
 
-    def _claim(self, seen: dict[str, Seen]) -> list:
+    def _acquire_claim(self, seen: dict[str, NodeReport]) -> list:
         if self.claim is not None:
             whole = self.plan
             self.plan = msgspec.structs.replace(whole, nodes={"a": "10.0.0.1:1"})
             try:
-                return super()._claim(seen)
+                return super()._acquire_claim(seen)
             finally:
                 self.plan = whole
-        return super()._claim(seen)
+        return super()._acquire_claim(seen)
--- a/thornladder/rollout/judge.py
+++ b/thornladder/rollout/judge.py
@@ -1,10 +1,12 @@
-"""Whether new nodes do worse than old ones in the same seconds, looked at all the time. No I/O.
-
-Each question is a bet that may be looked at after every observation (tests by betting, Ville's inequality:
-Ramdas and others 2023). For shares of invocations a block is what both sides did between two looks: given
-how many were hit in all, how many of those were new follows Fisher's noncentral hypergeometric distribution,
-by the odds ratio alone, so how hard a trouble hits both does not matter. The bets' weighted mean reaches
-1/chance with at most that chance if no question is true, however often and until whenever it is looked at.
+"""Sequential tests of whether new nodes do worse than old ones over the same period. No I/O.
+
+Each metric has a test that stays valid when it is checked after every observation (testing by betting and
+Ville's inequality: Ramdas et al. 2023). For shares of invocations, a comparison window holds what both sides
+did between two observations. Given the total number of hits in it, the number of hits at new nodes follows
+Fisher's noncentral hypergeometric distribution, which depends on the odds ratio alone, so an incident that
+hits both sides does not affect the test, however severe it is. If no metric regressed, the weighted mean of
+the tests' e-values ever reaches 1/probability with at most that probability, however often it is checked and
+whenever checking stops.
 """
 
 from __future__ import annotations
@@ -16,391 +18,457 @@
 
 from thornladder.rollout.plan import Worse
 
-BETS = (0.1, 0.25, 0.5, 0.8)  # shares of what is held that are bet, side by side: small harm wants small ones
-ODDS = (1.3, 2.0, 4.0)  # times the odds ratio that is borne, which are bet on side by side
-BLOCK = 8  # invocations of each side at least, for the core that they cost
-MOST_HITS = 400  # in a block: more are thinned out, since sums of thousands of terms cost more than they tell
-MOST_GAIN = 2.0  # of one look: less than the whole truth is still a fair bet; harm shows in some 12 looks
-TROUBLED = (1.4, 0.03)  # times its own past, and more than that: the old side is in trouble
-FADES = 0.7  # what a look leaves of those before it, in the share by which that is told
-ENOUGH = 30.0  # invocations in that share
-CALM = 5.0  # seconds after a trouble until what is seen counts again
-SPAN = 2.0  # seconds of a block for core and memory
-SETTLING = 10.0  # seconds after its start in which a process's memory says nothing
-QUANTILE = 0.75  # of all times before the change: slower than that is slow
-LEAST_PART = 0.05  # of all node-seconds that new nodes are taken to have had: three crashes are needed then
-ASSUMED = 0.9  # share of all crashes that a bad change would have
-WEIGHTS = {"crashes": 0.2, "memory": 0.1, "core": 0.1}  # of the chance of a false stop; the rest even
-PART = 0.01  # of what comes: an offering with less is not waited for
-MOST_OFFERINGS, MOST_TENANTS = 30, 20
-OWN = 100.0  # invocations after which half of a node's own past counts
-LEAST_SHARE = 0.002  # that odds are taken of
-
-
-class Bet:
-    """Wealth against "its mean is at most 0"; observations from -1 to 1."""
+BET_FRACTIONS = (0.1, 0.25, 0.5, 0.8)  # of wealth, bet in parallel: small regressions need small fractions
+ODDS_RATIO_MULTIPLES = (1.3, 2.0, 4.0)  # of the tolerated odds ratio: the alternatives, tested in parallel
+MIN_CORE_INVOCATIONS = 8  # per side, to compare the core time that an invocation costs
+MAX_HITS = 400  # per window; more are scaled down, as sums of thousands of terms cost more than they tell
+# Largest factor that one window contributes to an e-value. Capping keeps the test valid, and a regression
+# still shows within about 12 windows.
+MAX_GAIN = 2.0
+# The old side is in an incident above this multiple of its own baseline hits plus this share of invocations.
+INCIDENT_THRESHOLDS = (1.4, 0.03)
+RECENT_DECAY = 0.7  # per window, of the old side's recent counts that incidents are detected by
+MIN_RECENT_INVOCATIONS = 30.0  # in those counts, to detect an incident
+INCIDENT_COOLDOWN_SECONDS = 5.0  # after an incident, until windows count again
+RESOURCE_WINDOW_SECONDS = 2.0  # for core and memory
+MEMORY_WARM_UP_SECONDS = 10.0  # after a process starts, in which its memory is ignored
+SLOW_QUANTILE = 0.75  # of all latencies before the change: anything above counts as slow
+# Lower bound of the new nodes' assumed share of node-seconds; at the bound it takes three crashes to stop.
+MIN_NEW_TIME_SHARE = 0.05
+BAD_CHANGE_CRASH_SHARE = 0.9  # of all crashes that would be at new nodes under a bad change
+# Shares of the false-stop probability; all other metrics divide the rest equally.
+METRIC_WEIGHTS = {"crashes": 0.2, "memory": 0.1, "core": 0.1}
+MIN_TRAFFIC_SHARE = 0.01  # stages do not wait for offerings with less of the traffic
+MAX_OFFERINGS, MAX_TENANTS = 30, 20
+PRIOR_INVOCATIONS = 100.0  # weight of the fleet's share when it is blended with a node's own baseline
+MIN_SHARE = 0.002  # shares are clamped to this before their odds are taken
+
+
+class BoundedMeanTest:
+    """Tests "the mean is at most 0" for observations in [-1, 1]; larger ones are clipped."""
 
     def __init__(self) -> None:
-        self.parts = [1.0] * len(BETS)
+        self.components = [1.0] * len(BET_FRACTIONS)
 
-    def see(self, value: float) -> None:
+    def observe(self, value: float) -> None:
         value = min(max(value, -1.0), 1.0)
-        self.parts = [part * (1.0 + bet * value) for part, bet in zip(self.parts, BETS, strict=True)]
+        self.components = [
+            component * (1.0 + fraction * value)
+            for component, fraction in zip(self.components, BET_FRACTIONS, strict=True)
+        ]
 
     @property
-    def wealth(self) -> float:
-        return sum(self.parts) / len(self.parts)
+    def e_value(self) -> float:
+        return sum(self.components) / len(self.components)
 
 
-class Odds:
-    """Wealth against "the odds ratio, new to old, is at most the one that is borne"."""
+class OddsRatioTest:
+    """Tests "the odds ratio of hits, new nodes to old, is at most the tolerated one"."""
 
     def __init__(self) -> None:
-        self.parts = [1.0] * len(ODDS)
+        self.components = [1.0] * len(ODDS_RATIO_MULTIPLES)
 
-    def see(self, block: Block, borne: float) -> None:
-        old, new = (round(count) for count in block.count)
-        hits = [round(hit) for hit in block.hits]
-        whole = sum(hits)
-        if not old or not new or not whole or whole == old + new:
+    def observe(self, window: ComparisonWindow, tolerated_odds_ratio: float) -> None:
+        old, new = (round(count) for count in window.counts)
+        hits = [round(hit) for hit in window.hits]
+        total_hits = sum(hits)
+        if not old or not new or not total_hits or total_hits == old + new:
             return
-        if whole > MOST_HITS:  # the same share of all, as if fewer had been looked at
-            part = MOST_HITS / whole
-            old, new, hits = round(old * part), round(new * part), [round(hit * part) for hit in hits]
-            whole, hits = sum(hits), [min(hits[0], old), min(hits[1], new)]
-        least = _likelihood(old, new, whole, hits[1], borne)
-        gains = [_likelihood(old, new, whole, hits[1], borne * odds) / least for odds in ODDS]
-        # Guards against the one look at which a trouble begins, that hits nodes unequally.
-        self.parts = [part * min(gain, MOST_GAIN) for part, gain in zip(self.parts, gains, strict=True)]
+        if total_hits > MAX_HITS:  # scales all counts down and keeps their ratios
+            scale = MAX_HITS / total_hits
+            old, new, hits = round(old * scale), round(new * scale), [round(hit * scale) for hit in hits]
+            total_hits, hits = sum(hits), [min(hits[0], old), min(hits[1], new)]
+        null_likelihood = _likelihood(old, new, total_hits, hits[1], tolerated_odds_ratio)
+        gains = [
+            _likelihood(old, new, total_hits, hits[1], tolerated_odds_ratio * multiple) / null_likelihood
+            for multiple in ODDS_RATIO_MULTIPLES
+        ]
+        # An incident hits nodes unequally in the window in which it begins; that window must not decide.
+        self.components = [
+            component * min(gain, MAX_GAIN) for component, gain in zip(self.components, gains, strict=True)
+        ]
 
     @property
-    def wealth(self) -> float:
-        return sum(self.parts) / len(self.parts)
+    def e_value(self) -> float:
+        return sum(self.components) / len(self.components)
 
 
-def _likelihood(old: int, new: int, whole: int, hits: int, odds: float) -> float:
-    """That of `whole` hits `hits` are new, by Fisher's noncentral hypergeometric distribution."""
-    log_odds = math.log(odds)
-    terms = {k: _choose(new, k) + _choose(old, whole - k) + k * log_odds
-             for k in range(max(whole - old, 0), min(whole, new) + 1)}  # fmt: skip
-    top = max(terms.values())
-    return max(math.exp(terms[hits] - top) / sum(math.exp(term - top) for term in terms.values()), 1e-12)
+def _likelihood(old: int, new: int, total_hits: int, new_hits: int, odds_ratio: float) -> float:
+    """Probability that `new_hits` of `total_hits` are at new nodes (Fisher's noncentral hypergeometric)."""
+    log_odds_ratio = math.log(odds_ratio)
+    log_terms = {k: _log_binomial(new, k) + _log_binomial(old, total_hits - k) + k * log_odds_ratio
+                 for k in range(max(total_hits - old, 0), min(total_hits, new) + 1)}  # fmt: skip
+    largest = max(log_terms.values())
+    return max(
+        math.exp(log_terms[new_hits] - largest)
+        / sum(math.exp(log_term - largest) for log_term in log_terms.values()),
+        1e-12,
+    )
 
 
-def _choose(n: int, k: int) -> float:
+def _log_binomial(n: int, k: int) -> float:
     return math.lgamma(n + 1) - math.lgamma(k + 1) - math.lgamma(n - k + 1)
 
 
 def _odds(share: float) -> float:
-    share = min(max(share, LEAST_SHARE), 1.0 - LEAST_SHARE)
+    share = min(max(share, MIN_SHARE), 1.0 - MIN_SHARE)
     return share / (1.0 - share)
 
 
-class Crashes:
-    """Wealth against "a crash is as likely at a new node as at an old one", by seconds of both."""
+class CrashTest:
+    """Tests "a crash is as likely per second at a new node as at an old one"."""
 
     def __init__(self) -> None:
-        self.wealth = 1.0
+        self.e_value = 1.0
         self.seconds = [1e-9, 1e-9]  # old, new
 
-    def see(self, side: int) -> None:
-        # Guards against one crash that follows a change by chance, when new nodes have had few seconds.
-        share = min(max(self.seconds[1] / sum(self.seconds), LEAST_PART), ASSUMED)
-        self.wealth *= ASSUMED / share if side else (1.0 - ASSUMED) / (1.0 - share)
+    def observe(self, side: int) -> None:
+        # Without the lower bound, a single chance crash right after a change would stop it, as new nodes have
+        # run for only a few seconds by then.
+        new_share = min(max(self.seconds[1] / sum(self.seconds), MIN_NEW_TIME_SHARE), BAD_CHANGE_CRASH_SHARE)
+        self.e_value *= (
+            BAD_CHANGE_CRASH_SHARE / new_share if side else (1.0 - BAD_CHANGE_CRASH_SHARE) / (1.0 - new_share)
+        )
 
 
-class Sums(NamedTuple):
-    """Of one node's counters, or a difference of them."""
+class CounterTotals(NamedTuple):
+    """One node's counters since its process started, or the difference of two such totals."""
 
     offerings: dict[str, list[int]]
     tenants: dict[str, list[int]]
-    times: dict[str, dict[int, int]]
-    core: float
-    memory: float
+    latencies: dict[str, dict[int, int]]  # by offering: counts by upper bound in microseconds
+    core_seconds: float
+    memory_bytes: float
 
 
-TAKEN, BAD, FURTHER = 0, 1, 6
+INVOCATIONS, BAD, EXTRA_PUSHES = 0, 1, 6  # places in a row of counts
 
 
-def sums(told: Mapping[str, Any]) -> Sums:
-    rows = told["offerings"]
-    return Sums(
-        {name: row["counts"] for name, row in rows.items()}, told["tenants"],
+def counter_totals(counters: Mapping[str, Any]) -> CounterTotals:
+    rows = counters["offerings"]
+    return CounterTotals(
+        {name: row["counts"] for name, row in rows.items()}, counters["tenants"],
         {name: dict(row["times"]) for name, row in rows.items()},
-        told["core"], told["memory"],
+        counters["core"], counters["memory"],
     )  # fmt: skip
 
 
-def _less(new: Mapping[str, Sequence[int]], old: Mapping[str, Sequence[int]]) -> dict[str, list[int]]:
+def _subtract_rows(
+    new: Mapping[str, Sequence[int]], old: Mapping[str, Sequence[int]]
+) -> dict[str, list[int]]:
     return {name: [a - b for a, b in zip(row, old.get(name, [0] * len(row)), strict=True)]
             for name, row in new.items()}  # fmt: skip
 
 
-def difference(new: Sums, old: Sums) -> Sums:
-    times = {name: {upto: count - old.times.get(name, {}).get(upto, 0) for upto, count in row.items()}
-             for name, row in new.times.items()}  # fmt: skip
-    return Sums(_less(new.offerings, old.offerings), _less(new.tenants, old.tenants), times,
-                new.core - old.core, new.memory - old.memory)  # fmt: skip
+def difference(new: CounterTotals, old: CounterTotals) -> CounterTotals:
+    latencies = {name: {bound: count - old.latencies.get(name, {}).get(bound, 0)
+                        for bound, count in row.items()}
+                 for name, row in new.latencies.items()}  # fmt: skip
+    return CounterTotals(_subtract_rows(new.offerings, old.offerings),
+                         _subtract_rows(new.tenants, old.tenants), latencies,
+                         new.core_seconds - old.core_seconds,
+                         new.memory_bytes - old.memory_bytes)  # fmt: skip
 
 
 @dataclass
-class Block:
-    """What both sides did since the last observation, and what their own past says it would be."""
+class ComparisonWindow:
+    """One metric's counts on both sides since the last comparison; each list is [old, new]."""
 
-    count: list[float] = field(default_factory=lambda: [0.0, 0.0])  # old, new
+    counts: list[float] = field(default_factory=lambda: [0.0, 0.0])
     hits: list[float] = field(default_factory=lambda: [0.0, 0.0])
-    own: list[float] = field(default_factory=lambda: [0.0, 0.0])
+    baseline_hits: list[float] = field(default_factory=lambda: [0.0, 0.0])  # expected by the nodes' baselines
 
-    def add(self, side: int, count: float, hits: float, own: float) -> None:
-        self.count[side] += count
+    def add(self, side: int, count: float, hits: float, baseline_share: float) -> None:
+        self.counts[side] += count
         self.hits[side] += hits
-        self.own[side] += count * own
+        self.baseline_hits[side] += count * baseline_share
 
-    def difference(self) -> float:
-        return self.hits[1] / self.count[1] - self.hits[0] / self.count[0]
+    def share_difference(self) -> float:
+        return self.hits[1] / self.counts[1] - self.hits[0] / self.counts[0]
 
-    def borne(self, worse: float) -> float:
-        """The odds ratio that is borne: of `worse` more than both sides' share, and as their own past was."""
-        share = sum(self.hits) / sum(self.count)
-        past = [own / count for own, count in zip(self.own, self.count, strict=True)]
-        return max(_odds(share + worse) / _odds(share), 1.01) * max(_odds(past[1]) / _odds(past[0]), 1.0)
+    def tolerated_odds_ratio(self, tolerance: float) -> float:
+        """Odds ratio of a share larger by `tolerance`, times the sides' odds ratio before the change."""
+        share = sum(self.hits) / sum(self.counts)
+        baseline_shares = [hits / count for hits, count in zip(self.baseline_hits, self.counts, strict=True)]
+        return max(_odds(share + tolerance) / _odds(share), 1.01) * max(
+            _odds(baseline_shares[1]) / _odds(baseline_shares[0]), 1.0
+        )
 
 
 @dataclass
-class Heavy:
-    """Of one side since the last look. `wanted`: the core that its own past lets expect."""
+class ResourceUse:
+    """Core and memory use of one side since the last comparison."""
 
-    core: float = 0.0
-    count: int = 0
-    wanted: float = 0.0
-    memory: float = 0.0
-    seconds: float = 0.0
+    core_seconds: float = 0.0
+    invocations: int = 0
+    expected_core_seconds: float = 0.0  # for these invocations, by the nodes' own baselines
+    memory_growth_bytes: float = 0.0
+    node_seconds: float = 0.0  # over which memory was measured
 
 
-class Last(NamedTuple):
-    """Of a node, as it was last seen."""
+class LastSeen(NamedTuple):
+    """A node's most recent counters."""
 
     process: str
-    counted: Sums
-    seconds: float  # of that process's life
+    totals: CounterTotals
+    process_seconds: float  # age of that process
 
 
 class Finding(NamedTuple):
-    worse: bool
-    wealth: float  # of 1/chance
-    most: str  # the question with the most wealth
-    by: float  # what that has seen on average, new less old
-    doubt: bool  # not worse, and not far from it
+    """Result of all tests so far."""
+
+    regressed: bool
+    e_value: float  # regressed from 1/probability on
+    top_metric: str  # the metric with the strongest evidence
+    mean_difference: float  # of that metric, new minus old
+    inconclusive: bool  # not regressed, but close to it
 
 
 class Judge:
-    def __init__(self, worse: Worse, chance: float) -> None:
-        """`chance`: of calling a sound change worse, ever."""
-        self.worse, self.chance = worse, chance
-        self.last: dict[str, Last] = {}
-        self.past: dict[tuple[str, str, str], list[float]] = {}  # node, kind, name: count, hits
-        self.fleet: dict[tuple[str, str], list[float]] = {}
-        self.before: dict[str, dict[int, int]] = {}  # times before the change, by offering
-        self.slow: dict[str, int] = {}
-        self.bets: dict[str, Bet | Odds] = {}
-        self.troubled: dict[str, float] = {}  # until when what is seen does not count
-        self.lately: dict[str, list[float]] = {}  # of the old side: count, hits, hits by its own past
-        self.blocks: dict[str, Block] = {}
-        self.seen: dict[str, list[float]] = {}  # observations and their sum
-        self.crashes = Crashes()
-        self.crashed: dict[str, int] = {}
-        self.core: dict[str, list[float]] = {}  # before the change, by node: seconds of a core, invocations
-        self.heavy = (Heavy(), Heavy())
-        self.span = 0.0
-        self.taken = [0, 0]  # since the stage began
-        self.of: dict[str, int] = {}  # the same at new nodes, by offering
+    """Compares new nodes with old ones during a rollout, relative to their baselines before it."""
+
+    def __init__(self, tolerances: Worse, false_stop_probability: float) -> None:
+        """`false_stop_probability` bounds the chance that a sound change is ever found to regress."""
+        self.tolerances, self.false_stop_probability = tolerances, false_stop_probability
+        self.last_seen: dict[str, LastSeen] = {}
+        self.node_baselines: dict[tuple[str, str, str], list[float]] = {}  # node, kind, name: count, hits
+        self.fleet_baselines: dict[tuple[str, str], list[float]] = {}
+        self.baseline_latencies: dict[str, dict[int, int]] = {}  # by offering
+        self.slow_limits: dict[str, int] = {}  # microseconds, by offering
+        self.tests: dict[str, BoundedMeanTest | OddsRatioTest] = {}
+        self.incident_until: dict[str, float] = {}  # windows are discarded until then
+        self.recent_old: dict[str, list[float]] = {}  # old side, decayed: count, hits, baseline hits
+        self.windows: dict[str, ComparisonWindow] = {}
+        self.differences: dict[str, list[float]] = {}  # number of observations and their sum
+        self.crash_test = CrashTest()
+        self.crash_counts: dict[str, int] = {}
+        self.baseline_core: dict[str, list[float]] = {}  # by node: core seconds, invocations
+        self.resources = (ResourceUse(), ResourceUse())
+        self.resources_compared_at = 0.0
+        self.stage_invocations = [0, 0]  # old, new; since the stage began
+        self.stage_invocations_by_offering: dict[str, int] = {}  # at new nodes
 
     # Before the change.
 
-    def learn(self, told: Mapping[str, Mapping[str, Any]]) -> None:
-        """All as they are; `told`: each node's counters."""
-        for name, step, _ in self._steps(told):
-            core = self.core.setdefault(name, [0.0, 0.0])
-            core[0] += step.core
-            core[1] += sum(row[TAKEN] for row in step.offerings.values())
-            for kind, of, count, hits in self._counts(step, slow=False):
-                for held in (self.past.setdefault((name, kind, of), [0.0, 0.0]),
-                             self.fleet.setdefault((kind, of), [0.0, 0.0])):  # fmt: skip
-                    held[0] += count
-                    held[1] += hits
-            self._add_before(step)
-
-    def begin_anew(self, told: Mapping[str, Mapping[str, Any]]) -> None:
-        """After a driver's death the past is not known: what is left is the comparison of both sides."""
-        self.learn(told)
-        for name in told:
-            whole = sums(told[name])
-            self._add_before(whole)
-            for of in whole.offerings:
+    def add_baseline(self, counters: Mapping[str, Mapping[str, Any]]) -> None:
+        """Learns from each node's counters while no node has changed yet."""
+        for name, step, _ in self._steps(counters):
+            core = self.baseline_core.setdefault(name, [0.0, 0.0])
+            core[0] += step.core_seconds
+            core[1] += sum(row[INVOCATIONS] for row in step.offerings.values())
+            for kind, subject, count, hits in self._counts(step, slow=False):
+                for baseline in (self.node_baselines.setdefault((name, kind, subject), [0.0, 0.0]),
+                                 self.fleet_baselines.setdefault((kind, subject), [0.0, 0.0])):  # fmt: skip
+                    baseline[0] += count
+                    baseline[1] += hits
+            self._add_baseline_latencies(step)
+
+    def start_without_baseline(self, counters: Mapping[str, Mapping[str, Any]]) -> None:
+        """Starts after a driver restart has lost the baselines: sides are only compared to each other."""
+        self.add_baseline(counters)
+        for name in counters:
+            totals = counter_totals(counters[name])
+            self._add_baseline_latencies(totals)
+            for offering in totals.offerings:
                 for kind in ("bad", "further"):
-                    self.fleet.setdefault((kind, of), [0.0, 0.0])
-        self.begin()
-
-    def _add_before(self, step: Sums) -> None:
-        for of, times in step.times.items():
-            whole = self.before.setdefault(of, {})
-            for upto, count in times.items():
-                whole[upto] = whole.get(upto, 0) + count
-
-    def begin(self) -> None:
-        """The past is known: what counts as slow, and which questions there are."""
-        for of, times in self.before.items():
-            left = QUANTILE * sum(times.values())
-            for upto in sorted(times):
-                left -= times[upto]
-                if left <= 0.0:
-                    self.slow[of] = upto
+                    self.fleet_baselines.setdefault((kind, offering), [0.0, 0.0])
+        self.start_comparison()
+
+    def _add_baseline_latencies(self, step: CounterTotals) -> None:
+        for offering, latencies in step.latencies.items():
+            total = self.baseline_latencies.setdefault(offering, {})
+            for bound, count in latencies.items():
+                total[bound] = total.get(bound, 0) + count
+
+    def start_comparison(self) -> None:
+        """Ends the baseline: sets the limits of what counts as slow, and creates the tests."""
+        for offering, latencies in self.baseline_latencies.items():
+            remaining = SLOW_QUANTILE * sum(latencies.values())
+            for bound in sorted(latencies):
+                remaining -= latencies[bound]
+                if remaining <= 0.0:
+                    self.slow_limits[offering] = bound
                     break
-        for kind, of in sorted(self.fleet):
-            self.bets[f"{kind} {of}"] = Odds()
-        for of in sorted(self.slow)[:MOST_OFFERINGS]:
-            self.bets[f"slow {of}"] = Odds()
-        self.bets["memory"], self.bets["core"] = Bet(), Bet()
-
-    def new_stage(self) -> None:
-        self.taken, self.of = [0, 0], {}
-
-    def short(self, least: int) -> list[str]:
-        """Offerings that had a part of what came, and of which new nodes took less than `least` since."""
-        counts = {of: count for (kind, of), (count, _) in self.fleet.items() if kind == "further"}
-        few = PART * sum(counts.values())
-        return sorted(of for of, count in counts.items() if count > few and self.of.get(of, 0) < least)
-
-    # During it.
-
-    def see(
-        self, now: float, told: Mapping[str, Mapping[str, Any]], new: Iterable[str],
-        crashes: Mapping[str, int] | None = None, ordered: Iterable[str] = (),
+        for kind, subject in sorted(self.fleet_baselines):
+            self.tests[f"{kind} {subject}"] = OddsRatioTest()
+        for offering in sorted(self.slow_limits)[:MAX_OFFERINGS]:
+            self.tests[f"slow {offering}"] = OddsRatioTest()
+        self.tests["memory"], self.tests["core"] = BoundedMeanTest(), BoundedMeanTest()
+
+    def start_stage(self) -> None:
+        self.stage_invocations, self.stage_invocations_by_offering = [0, 0], {}
+
+    def undersampled_offerings(self, min_invocations: int) -> list[str]:
+        """Offerings with fewer invocations at new nodes in this stage, except those with little traffic."""
+        counts = {subject: count for (kind, subject), (count, _) in self.fleet_baselines.items()
+                  if kind == "further"}  # fmt: skip
+        min_traffic = MIN_TRAFFIC_SHARE * sum(counts.values())
+        return sorted(
+            offering
+            for offering, count in counts.items()
+            if count > min_traffic and self.stage_invocations_by_offering.get(offering, 0) < min_invocations
+        )
+
+    # During the change.
+
+    def observe(
+        self, now: float, counters: Mapping[str, Mapping[str, Any]], new: Iterable[str],
+        crashes: Mapping[str, int] | None = None, assigned: Iterable[str] = (),
     ) -> None:  # fmt: skip
-        """`new`: the nodes that run the new; the rest of `told` run the old. `crashes`: of each, so far.
+        """Adds the counters of all nodes that have converged.
 
-        `ordered`: those that are to run the new: what ends there ended by it.
+        `new` are the nodes that run the new variant; all others in `counters` run the old one. `crashes` are
+        each node's crashes so far. Crashes of nodes in `assigned`, which are to run the new variant, count
+        against it.
         """
-        fresh, meant = set(new), set(new) | set(ordered)
+        new_nodes, crash_suspects = set(new), set(new) | set(assigned)
         for name, count in (crashes or {}).items():
-            for _ in range(max(count - self.crashed.get(name, count), 0)):
-                self.crashes.see(int(name in meant))
-            self.crashed[name] = count
-        for name, step, seconds in self._steps(told):
-            side = int(name in fresh)
-            taken = sum(row[TAKEN] for row in step.offerings.values())
-            self.crashes.seconds[side] += seconds
-            self.taken[side] += taken
-            for of, row in step.offerings.items() if side else ():
-                self.of[of] = self.of.get(of, 0) + row[TAKEN]
-            for kind, of, count, hits in self._counts(step):
-                key = f"{kind} {of}"
-                if key in self.bets and count:
-                    self.blocks.setdefault(key, Block()).add(side, count, hits, self._own(name, kind, of))
-            heavy = self.heavy[side]
-            heavy.core += step.core
-            heavy.count += taken
-            heavy.wanted += taken * self._core(name)
-            if self.last[name].seconds > SETTLING:
-                heavy.memory += step.memory
-                heavy.seconds += seconds
-        for key, block in list(self.blocks.items()):
-            if min(block.count) > 0:
-                self._compare(now, key, block)
-                del self.blocks[key]
-        if now - self.span >= SPAN:
-            self.span = now
-            self._heavy()
+            for _ in range(max(count - self.crash_counts.get(name, count), 0)):
+                self.crash_test.observe(int(name in crash_suspects))
+            self.crash_counts[name] = count
+        for name, step, seconds in self._steps(counters):
+            side = int(name in new_nodes)
+            invocations = sum(row[INVOCATIONS] for row in step.offerings.values())
+            self.crash_test.seconds[side] += seconds
+            self.stage_invocations[side] += invocations
+            for offering, row in step.offerings.items() if side else ():
+                self.stage_invocations_by_offering[offering] = (
+                    self.stage_invocations_by_offering.get(offering, 0) + row[INVOCATIONS]
+                )
+            for kind, subject, count, hits in self._counts(step):
+                key = f"{kind} {subject}"
+                if key in self.tests and count:
+                    self.windows.setdefault(key, ComparisonWindow()).add(
+                        side, count, hits, self._baseline_share(name, kind, subject)
+                    )
+            resources = self.resources[side]
+            resources.core_seconds += step.core_seconds
+            resources.invocations += invocations
+            resources.expected_core_seconds += invocations * self._baseline_core_seconds(name)
+            if self.last_seen[name].process_seconds > MEMORY_WARM_UP_SECONDS:
+                resources.memory_growth_bytes += step.memory_bytes
+                resources.node_seconds += seconds
+        for key, window in list(self.windows.items()):
+            if min(window.counts) > 0:
+                self._compare_shares(now, key, window)
+                del self.windows[key]
+        if now - self.resources_compared_at >= RESOURCE_WINDOW_SECONDS:
+            self.resources_compared_at = now
+            self._compare_resources()
 
     def finding(self) -> Finding:
         weights = self._weights()
-        held = {**{key: bet.wealth for key, bet in self.bets.items()}, "crashes": self.crashes.wealth}
-        whole = sum(weights[key] * wealth for key, wealth in held.items())
-        most = max(held, key=lambda key: weights[key] * held[key])
-        count, total = self.seen.get(most, [0.0, 0.0])
-        limit = 1.0 / self.chance
-        by = total / count if count else 0.0
-        return Finding(whole >= limit, whole, most, round(by, 4), whole < limit and whole > limit**0.5)
-
-    # Within.
+        e_values = {
+            **{key: test.e_value for key, test in self.tests.items()},
+            "crashes": self.crash_test.e_value,
+        }
+        combined = sum(weights[key] * e_value for key, e_value in e_values.items())
+        top_metric = max(e_values, key=lambda key: weights[key] * e_values[key])
+        count, total = self.differences.get(top_metric, [0.0, 0.0])
+        limit = 1.0 / self.false_stop_probability
+        mean_difference = total / count if count else 0.0
+        return Finding(
+            combined >= limit,
+            combined,
+            top_metric,
+            round(mean_difference, 4),
+            combined < limit and combined > limit**0.5,
+        )
+
+    # Internals.
 
     def _weights(self) -> dict[str, float]:
-        rest = [key for key in self.bets if key not in WEIGHTS]
-        even = (1.0 - sum(WEIGHTS.values())) / max(len(rest), 1)
-        return {**WEIGHTS, **dict.fromkeys(rest, even)}
+        others = [key for key in self.tests if key not in METRIC_WEIGHTS]
+        equal_share = (1.0 - sum(METRIC_WEIGHTS.values())) / max(len(others), 1)
+        return {**METRIC_WEIGHTS, **dict.fromkeys(others, equal_share)}
 
-    def _steps(self, told: Mapping[str, Mapping[str, Any]]) -> list[tuple[str, Sums, float]]:
-        """What each node did since it was last seen; a process seen for the first time tells nothing yet."""
+    def _steps(self, counters: Mapping[str, Mapping[str, Any]]) -> list[tuple[str, CounterTotals, float]]:
+        """Node, counter increase and seconds since the last call; skips processes seen for the first time."""
         steps = []
-        for name in sorted(told):
-            new = Last(told[name]["process"], sums(told[name]), told[name]["seconds"])
-            held = self.last.get(name)
-            if held is None or held.process != new.process:
-                self.last[name] = new
-            elif new.seconds > held.seconds:
-                steps.append((name, difference(new.counted, held.counted), new.seconds - held.seconds))
-                self.last[name] = new
+        for name in sorted(counters):
+            current = LastSeen(
+                counters[name]["process"], counter_totals(counters[name]), counters[name]["seconds"]
+            )
+            previous = self.last_seen.get(name)
+            if previous is None or previous.process != current.process:
+                self.last_seen[name] = current
+            elif current.process_seconds > previous.process_seconds:
+                steps.append((name, difference(current.totals, previous.totals),
+                              current.process_seconds - previous.process_seconds))  # fmt: skip
+                self.last_seen[name] = current
         return steps
 
-    def _counts(self, step: Sums, slow: bool = True) -> list[tuple[str, str, float, float]]:
-        """Kind, of what, how many, how many of them count against it."""
+    def _counts(self, step: CounterTotals, slow: bool = True) -> list[tuple[str, str, float, float]]:
+        """Kind of metric, offering or tenant, number of events, number of hits among them."""
         counts: list[tuple[str, str, float, float]] = []
-        for of, row in list(step.offerings.items())[:MOST_OFFERINGS]:
-            counts.append(("bad", of, row[TAKEN], row[BAD]))
-            counts.append(("further", of, row[TAKEN], min(row[FURTHER], row[TAKEN])))
-        for of, row in list(step.tenants.items())[:MOST_TENANTS]:
-            counts.append(("bad", f"tenant {of}", row[TAKEN], row[BAD]))
-        for of, limit in self.slow.items() if slow else ():
-            times = step.times.get(of, {})
-            counts.append(("slow", of, sum(times.values()),
-                           sum(count for upto, count in times.items() if upto > limit)))  # fmt: skip
+        for offering, row in list(step.offerings.items())[:MAX_OFFERINGS]:
+            counts.append(("bad", offering, row[INVOCATIONS], row[BAD]))
+            counts.append(("further", offering, row[INVOCATIONS], min(row[EXTRA_PUSHES], row[INVOCATIONS])))
+        for tenant, row in list(step.tenants.items())[:MAX_TENANTS]:
+            counts.append(("bad", f"tenant {tenant}", row[INVOCATIONS], row[BAD]))
+        for offering, limit in self.slow_limits.items() if slow else ():
+            latencies = step.latencies.get(offering, {})
+            counts.append(("slow", offering, sum(latencies.values()),
+                           sum(count for bound, count in latencies.items() if bound > limit)))  # fmt: skip
         return counts
 
-    def _own(self, name: str, kind: str, of: str) -> float:
-        """This node's share before the change, drawn to that of all where little is known."""
-        count, hits = self.past.get((name, kind, of), (0.0, 0.0))
-        all_count, all_hits = self.fleet.get((kind, of), (0.0, 0.0))
-        usual = all_hits / all_count if all_count else 1.0 - QUANTILE
-        return (hits + OWN * usual) / (count + OWN)
+    def _baseline_share(self, name: str, kind: str, subject: str) -> float:
+        """This node's hit share before the change, shrunk towards the fleet's where there is little data."""
+        count, hits = self.node_baselines.get((name, kind, subject), (0.0, 0.0))
+        fleet_count, fleet_hits = self.fleet_baselines.get((kind, subject), (0.0, 0.0))
+        fleet_share = fleet_hits / fleet_count if fleet_count else 1.0 - SLOW_QUANTILE
+        return (hits + PRIOR_INVOCATIONS * fleet_share) / (count + PRIOR_INVOCATIONS)
 
-    def _compare(self, now: float, key: str, block: Block) -> None:
-        """A look at one question, unless a trouble was on at the last one.
+    def _compare_shares(self, now: float, key: str, window: ComparisonWindow) -> None:
+        """Tests one metric's window, unless an incident was on at the previous window.
 
-        Guards against nodes that a trouble hits unequally, and against choosing by what is then counted.
+        Incidents hit nodes unequally, so their windows do not count. The decision uses earlier windows only:
+        choosing a window by its own contents would bias the test.
         """
-        calm = now >= self.troubled.get(key, -math.inf)
-        times, more = TROUBLED
-        step = (block.count[0], block.hits[0], block.own[0])
-        held = self.lately.get(key, [0.0, 0.0, 0.0])
-        count, hits, own = self.lately[key] = [FADES * a + b for a, b in zip(held, step, strict=True)]
-        if hits > times * own + more * count and count >= ENOUGH:
-            self.troubled[key] = now + CALM
+        calm = now >= self.incident_until.get(key, -math.inf)
+        factor, extra_share = INCIDENT_THRESHOLDS
+        step = (window.counts[0], window.hits[0], window.baseline_hits[0])
+        recent = self.recent_old.get(key, [0.0, 0.0, 0.0])
+        count, hits, baseline_hits = self.recent_old[key] = [
+            RECENT_DECAY * a + b for a, b in zip(recent, step, strict=True)
+        ]
+        if hits > factor * baseline_hits + extra_share * count and count >= MIN_RECENT_INVOCATIONS:
+            self.incident_until[key] = now + INCIDENT_COOLDOWN_SECONDS
         if calm:
             kind = key.partition(" ")[0]
-            self._noted(key, block.difference())
-            self.bets[key].see(block, block.borne(getattr(self.worse, kind)))
-
-    def _noted(self, key: str, value: float) -> None:
-        held = self.seen.setdefault(key, [0.0, 0.0])
-        held[0] += 1.0
-        held[1] += value
-
-    def _observe(self, key: str, value: float) -> None:
-        self._noted(key, value)
-        self.bets[key].see(value)
-
-    def _heavy(self) -> None:
-        """Core and memory have no bounds: what is observed is only which side of a line they are on."""
-        old, new = self.heavy
-        if min(old.count, new.count) >= BLOCK and min(old.core, old.wanted, new.wanted) > 0.0:
-            more = new.core / new.wanted > self.worse.core * old.core / old.wanted
-            self._observe("core", 0.8 if more else -0.8)
-        if min(old.seconds, new.seconds) > 0.0:
-            grown = new.memory / new.seconds - old.memory / old.seconds > self.worse.memory * 1e6
-            self._observe("memory", 0.8 if grown else -0.8)
-        self.heavy = (Heavy(), Heavy())
-
-    def _core(self, name: str) -> float:
-        """Seconds of a core that an invocation cost at this node before the change; 1 where not known."""
-        core, count = self.core.get(name, (0.0, 0.0))
-        return core / count if core > 0.0 and count >= BLOCK else 1.0
+            self._record_difference(key, window.share_difference())
+            self.tests[key].observe(window, window.tolerated_odds_ratio(getattr(self.tolerances, kind)))
+
+    def _record_difference(self, key: str, value: float) -> None:
+        entry = self.differences.setdefault(key, [0.0, 0.0])
+        entry[0] += 1.0
+        entry[1] += value
+
+    def _observe_value(self, key: str, value: float) -> None:
+        self._record_difference(key, value)
+        self.tests[key].observe(value)
+
+    def _compare_resources(self) -> None:
+        """Core and memory are unbounded, so only whether the tolerance is exceeded is observed."""
+        old, new = self.resources
+        if (
+            min(old.invocations, new.invocations) >= MIN_CORE_INVOCATIONS
+            and min(old.core_seconds, old.expected_core_seconds, new.expected_core_seconds) > 0.0
+        ):
+            exceeded = (
+                new.core_seconds / new.expected_core_seconds
+                > self.tolerances.core * old.core_seconds / old.expected_core_seconds
+            )
+            self._observe_value("core", 0.8 if exceeded else -0.8)
+        if min(old.node_seconds, new.node_seconds) > 0.0:
+            exceeded = (
+                new.memory_growth_bytes / new.node_seconds - old.memory_growth_bytes / old.node_seconds
+                > self.tolerances.memory * 1e6
+            )
+            self._observe_value("memory", 0.8 if exceeded else -0.8)
+        self.resources = (ResourceUse(), ResourceUse())
+
+    def _baseline_core_seconds(self, name: str) -> float:
+        """Core seconds per invocation at this node before the change; 1 if unknown."""
+        core_seconds, count = self.baseline_core.get(name, (0.0, 0.0))
+        return core_seconds / count if core_seconds > 0.0 and count >= MIN_CORE_INVOCATIONS else 1.0
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -32,9 +32,16 @@
 from thornladder.node.companion import ExtensionEndpoint
 from thornladder.node.handover import StateFile
 from thornladder.node.tasks import Tasks
-from thornladder.rollout.core import Seen
+from thornladder.rollout.core import NodeReport
 from thornladder.rollout.counters import settings_digest
-from thornladder.rollout.orders import MOST_DOCUMENT, Claim, Document, Held, Variant, merged
+from thornladder.rollout.orders import (
+    MAX_DOCUMENT_BYTES,
+    AcceptorState,
+    Claim,
+    Document,
+    Variant,
+    apply_merge_patch,
+)
 
 ASK = 2.0  # seconds between questions to another keeper: one away is back in step within 10
 AT_START = 3.0  # seconds for the others to answer before a node is started with what is held
@@ -111,12 +118,12 @@
 
     # What it holds.
 
-    def _kept(self) -> Held:
+    def _kept(self) -> AcceptorState:
         told = self.sheet.read()
         try:
-            return msgspec.convert(told["held"], Held) if told else Held()
+            return msgspec.convert(told["held"], AcceptorState) if told else AcceptorState()
         except (msgspec.ValidationError, KeyError):
-            return Held()
+            return AcceptorState()
 
     def _keep(self) -> None:
         """On the disk before it is answered: a grant holds through any death."""
@@ -135,7 +142,7 @@
             return FIRST
         return document.variants[document.lines.get(self.config.name, 0)]
 
-    def seen(self) -> Seen:
+    def seen(self) -> NodeReport:
         document, process = self.held.document, self.process
         running = -1
         if process is not None and not process.ended and self.counters is not None:
@@ -143,8 +150,8 @@
             line = document.lines.get(self.config.name, 0) if document else 0
             same = [k for k, each in enumerate(variants) if _same(each, process.variant)]
             running = line if line in same else same[0] if same else -1
-        refused = self.refused[1] if self.refused[0] == self.held.order else ""
-        return Seen(self.config.name, document, self.held.claim, running, refused, self.crashes,
+        refused = self.refused[1] if self.refused[0] == self.held.version else ""
+        return NodeReport(self.config.name, document, self.held.claim, running, refused, self.crashes,
                     (self.counters or {}).get("speaks", {}), self.counters,
                     round(time.monotonic() - self.counted, 2))  # fmt: skip
 
@@ -167,22 +174,22 @@
         return self._taken(call.body, Claim, lambda claim: self.held.grant(claim))
 
     def _order(self, call: AdminRequest) -> AdminResponse:
-        return self._taken(call.body, Document, lambda document: self.held.take(document))
+        return self._taken(call.body, Document, lambda document: self.held.accept(document))
 
     def _taken(self, body: bytes, kind: type, take: Any) -> AdminResponse:
         try:
             asked = msgspec.json.decode(body, type=kind)
         except (msgspec.MsgspecError, ValueError) as error:
             return error_response(400, str(error))
-        before = self.held.order, self.held.claim
+        before = self.held.version, self.held.claim
         if why := take(asked):
             return error_response(409, why)
-        if (self.held.order, self.held.claim) != before:
+        if (self.held.version, self.held.claim) != before:
             self._keep()
-            if self.held.order != before[0]:
-                self.log.info("an order was taken", order=self.held.order, by="a driver")
+            if self.held.version != before[0]:
+                self.log.info("an order was taken", order=self.held.version, by="a driver")
             self.news.set()
-        return AdminResponse(200, {"order": self.held.order})
+        return AdminResponse(200, {"order": self.held.version})
 
     # Its tasks.
 
@@ -200,7 +207,7 @@
                 tasks = Tasks(group, self.log)
                 further = {path: each.method for path, each in self.admin_endpoints().items()}
                 tasks.supervise(
-                    "orders", AdminServer(self, tasks, self.log, further, MOST_DOCUMENT).run, door
+                    "orders", AdminServer(self, tasks, self.log, further, MAX_DOCUMENT_BYTES).run, door
                 )
                 with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
                     tasks.start("keeping", self._keep_running, tasks)
@@ -226,7 +233,7 @@
             try:
                 await self._settle()
             except Failed as error:
-                self.refused = (self.held.order, str(error))
+                self.refused = (self.held.version, str(error))
                 self.log.warning("the node does not run what it should", why=str(error))
             if not self.news.is_set():
                 with anyio.move_on_after(LOOK):
@@ -251,10 +258,10 @@
             self.process = self._start(self.config.admin[0], wanted)
             await self._counted(self.process)
             return
-        tried = self.refused[1] and self.refused[0] == self.held.order
+        tried = self.refused[1] and self.refused[0] == self.held.version
         if _same(process.variant, wanted) or tried:
             return
-        self.log.info("the node is told to change", variant=wanted.name, order=self.held.order)
+        self.log.info("the node is told to change", variant=wanted.name, order=self.held.version)
         if process.variant.program == wanted.program:
             await self._retune(process, wanted)
         elif self.config.beside:
@@ -327,7 +334,7 @@
     def _write(self, variant: Variant) -> dict[str, Any]:
         """The node's file by this variant; its settings."""
         node = json.loads(Path(self.config.config).read_bytes())
-        node["settings"] = merged(node["settings"], variant.patch)
+        node["settings"] = apply_merge_patch(node["settings"], variant.patch)
         path = self.folder / "config.json"
         part = path.with_suffix(".part")
         part.write_text(json.dumps(node))
@@ -379,8 +386,8 @@
             document = msgspec.convert(told["document"], Document)
         except msgspec.ValidationError:
             return
-        if document.order > self.held.order and self.held.take(document) is None:
-            self.log.info("an order was taken", order=document.order, by=peer)
+        if document.version > self.held.version and self.held.accept(document) is None:
+            self.log.info("an order was taken", order=document.version, by=peer)
             self._keep()
             self.news.set()
 
--- a/thornladder/rollout/orders.py
+++ b/thornladder/rollout/orders.py
@@ -13,7 +13,7 @@
 import msgspec
 
 FORMAT_VERSION = 1
-MOST_DOCUMENT = 512 * 1024  # bytes
+MAX_DOCUMENT_BYTES = 512 * 1024  # bytes
 
 
 class Variant(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -36,7 +36,7 @@
     form: int = FORMAT_VERSION
 
     @property
-    def order(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         return (self.number, self.revision)
 
 
@@ -45,42 +45,42 @@
     driver: str
 
 
-NOBODY = Claim(0, "")
+NO_CLAIM = Claim(0, "")
 
 
-class Held(msgspec.Struct):
+class AcceptorState(msgspec.Struct):
     """What one node holds, and the only place where it is decided what it takes."""
 
     document: Document | None = None
-    claim: Claim = NOBODY
+    claim: Claim = NO_CLAIM
 
     @property
-    def order(self) -> tuple[int, int]:
-        return self.document.order if self.document else (0, 0)
+    def version(self) -> tuple[int, int]:
+        return self.document.version if self.document else (0, 0)
 
     def grant(self, claim: Claim) -> str | None:
         """None: granted, for ever. Else why not."""
         if claim == self.claim:
             return None
-        highest = max(self.claim.number, self.order[0])
+        highest = max(self.claim.number, self.version[0])
         if claim.number <= highest:
             return f"number {highest} is taken"
         self.claim = claim
         return None
 
-    def take(self, document: Document) -> str | None:
+    def accept(self, document: Document) -> str | None:
         """None: it is held from now on, or was already. Else why not."""
         if document.form != FORMAT_VERSION:
             return f"form {document.form} is not understood"
         if document.number < self.claim.number:
             return f"overtaken by number {self.claim.number}"
-        if document.order < self.order:
-            return f"older than {self.order[0]}.{self.order[1]}"
+        if document.version < self.version:
+            return f"older than {self.version[0]}.{self.version[1]}"
         self.document = document
         return None
 
 
-def merged(settings: Any, patch: Any) -> Any:
+def apply_merge_patch(settings: Any, patch: Any) -> Any:
     """A JSON merge patch: null takes a key away, objects merge, all else replaces."""
     if not isinstance(patch, dict):
         return patch
@@ -89,5 +89,5 @@
         if value is None:
             result.pop(name, None)
         else:
-            result[name] = merged(result.get(name), value)
+            result[name] = apply_merge_patch(result.get(name), value)
     return result
--- a/thornladder/rollout/plan.py
+++ b/thornladder/rollout/plan.py
@@ -72,12 +72,12 @@
 def load(path: Path) -> Plan:
     """Raises MalformedError with one line that names the field."""
     plan = toml.read(path, Plan)
-    if wrong := unsound(plan):
+    if wrong := validation_error(plan):
         raise MalformedError(wrong)
     return plan
 
 
-def unsound(plan: Plan) -> str | None:
+def validation_error(plan: Plan) -> str | None:
     if not plan.nodes:
         return "nodes must name at least one"
     for name, address in plan.nodes.items():
--- a/thornladder/rollout/store.py
+++ b/thornladder/rollout/store.py
@@ -37,7 +37,7 @@
     def close(self) -> None:
         self.base.close()
 
-    def about(self, name: str, value: str) -> str:
+    def get_or_set(self, name: str, value: str) -> str:
         """The value under this name; set once, to `value`."""
         self.base.execute("insert or ignore into about values (?, ?)", (name, value))
         return self.base.execute("select value from about where name = ?", (name,)).fetchone()[0]
@@ -60,9 +60,9 @@
         """Of a person, for the driver that runs or the next one."""
         self.base.execute("insert into wishes (word) values (?)", (word,))
 
-    def wishes(self) -> list[str]:
+    def pending_requests(self) -> list[str]:
         rows = self.base.execute("select word from wishes where done = 0 order by number").fetchall()
         return [word for (word,) in rows]
 
-    def heeded(self) -> None:
+    def mark_requests_done(self) -> None:
         self.base.execute("update wishes set done = 1 where done = 0")
--- a/thornladder/rollout/virtual.py
+++ b/thornladder/rollout/virtual.py
@@ -13,9 +13,18 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from thornladder.rollout.core import Act, Ask, Driver, Phase, Record, Seen, Tell, Write
+from thornladder.rollout.core import (
+    Action,
+    Driver,
+    NodeReport,
+    Phase,
+    Record,
+    RequestClaim,
+    SendDocument,
+    WriteRecord,
+)
 from thornladder.rollout.judge import Finding, Judge, difference
-from thornladder.rollout.orders import Held
+from thornladder.rollout.orders import AcceptorState
 from thornladder.rollout.plan import Change, Plan
 
 OFFERINGS = {"look": 0.77, "pay": 0.2, "rare": 0.03}  # shares of what comes
@@ -56,7 +65,7 @@
 )  # fmt: skip
 
 
-class Trouble(NamedTuple):
+class Incident(NamedTuple):
     """Hits old and new alike, each node by its own measure."""
 
     at: float
@@ -70,7 +79,7 @@
     name: str
     rate: float
     measure: float  # how hard troubles hit it
-    held: Held = field(default_factory=Held)
+    held: AcceptorState = field(default_factory=AcceptorState)
     running: int = 0
     due: float = math.inf  # when it runs what it was told
     began: float = 0.0
@@ -88,7 +97,7 @@
 
 class Fleet:
     def __init__(
-        self, size: int, seed: int, harm: Regression, troubles: Sequence[Trouble] = (), rate: float = 30.0
+        self, size: int, seed: int, harm: Regression, troubles: Sequence[Incident] = (), rate: float = 30.0
     ) -> None:
         self.chance, self.harm, self.troubles = Random(seed), harm, troubles
         self.nodes: dict[str, Node] = {}
@@ -169,7 +178,7 @@
                 self.harmed += count
             node.core += count * 0.001 * chance.uniform(0.9, 1.1) * (harm.core if worse else 1.0)
 
-    def reports(self) -> dict[str, Seen]:
+    def reports(self) -> dict[str, NodeReport]:
         told = {}
         for node in self.nodes.values():
             if node.name in self.cut:
@@ -179,9 +188,9 @@
                 node.shown = (self.now, self._counters(node))
             at, counters = node.shown
             running = node.running if serves else -1
-            told[node.name] = Seen(node.name, node.held.document, node.held.claim, running, node.refused,
-                                   node.crashes, {}, counters if serves else None,
-                                   self.now - at)  # fmt: skip
+            told[node.name] = NodeReport(node.name, node.held.document, node.held.claim, running,
+                                         node.refused, node.crashes, {}, counters if serves else None,
+                                         self.now - at)  # fmt: skip
         return told
 
     def _counters(self, node: Node) -> dict[str, Any]:
@@ -190,18 +199,18 @@
         return {"process": f"{node.name}.{node.process}", "seconds": self.now - node.began, "tenants": {},
                 "offerings": offerings, "core": node.core, "memory": node.memory}  # fmt: skip
 
-    def carry_out(self, acts: Sequence[Act], log: list[Record]) -> None:
+    def carry_out(self, acts: Sequence[Action], log: list[Record]) -> None:
         for act in acts:
-            if isinstance(act, Write):
+            if isinstance(act, WriteRecord):
                 log.append(act.record)
                 continue
             for name in act.names:
                 if name not in self.cut:
                     held = self.nodes[name].held
-                    if isinstance(act, Ask):
+                    if isinstance(act, RequestClaim):
                         held.grant(act.claim)
-                    elif isinstance(act, Tell):
-                        held.take(act.document)
+                    elif isinstance(act, SendDocument):
+                        held.accept(act.document)
 
 
 class Outcome(NamedTuple):
@@ -232,12 +241,12 @@
         super().__init__(*given)
         self.count = self.hits = 0.0
 
-    def see(self, now: float, told: Any, new: Any, crashes: Any = None, ordered: Any = ()) -> None:
-        before = {name: held.counted for name, held in self.last.items()}
-        super().see(now, told, new, crashes, ordered)
+    def observe(self, now: float, told: Any, new: Any, crashes: Any = None, ordered: Any = ()) -> None:
+        before = {name: held.totals for name, held in self.last_seen.items()}
+        super().observe(now, told, new, crashes, ordered)
         self.count, self.hits = self.KEPT * self.count, self.KEPT * self.hits
         for name in set(new) & set(before):
-            rows = difference(self.last[name].counted, before[name]).offerings.values()
+            rows = difference(self.last_seen[name].totals, before[name]).offerings.values()
             self.count += sum(row[0] for row in rows)
             self.hits += sum(row[1] for row in rows)
 
@@ -268,10 +277,10 @@
     return Outcome(driver.phase, why, driver.stage + 1, ended, widest, fleet.harmed, left), log
 
 
-def draw_incidents(seed: int) -> list[Trouble]:
+def draw_incidents(seed: int) -> list[Incident]:
     """A few, seeded, that overlap as they fall."""
     chance = Random(f"troubles {seed}")
-    return [Trouble(chance.uniform(0.0, 300.0), chance.uniform(2.0, 60.0), chance.choice((0.0, 0.02, 0.3)),
+    return [Incident(chance.uniform(0.0, 300.0), chance.uniform(2.0, 60.0), chance.choice((0.0, 0.02, 0.3)),
                     chance.choice((1.0, 1.5, 4.0))) for _ in range(chance.randint(1, 5))]  # fmt: skip
 
 
