--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""A rolling change: orders, the judge and the driver in virtual time; two short plays on processes."""
+"""Rollouts: documents, judge and driver in virtual time; two short scenarios on real processes."""
 
 from __future__ import annotations
 
@@ -25,40 +25,42 @@
 from thornladder.rollout.store import Store
 
 
-def a_document(number: int, revision: int, line: int = 0) -> Document:
+def make_document(number: int, revision: int, assigned: int = 0) -> Document:
     variants = [Variant("old"), Variant("new")]
-    return Document(number, revision, "d", "new", variants, {"a": line}, {"a": 0}, "going")
+    return Document(number, revision, "d", "new", variants, {"a": assigned}, {"a": 0}, "going")
 
 
 @pytest.mark.parametrize(
-    ("steps", "held", "claim"),
+    ("steps", "version", "claim"),
     [
-        ("c1x c1y", (0, 0), Claim(1, "x")),  # one number, one driver
+        ("c1x c1y", (0, 0), Claim(1, "x")),  # a number belongs to one driver
         ("c1x c1x d1.1", (1, 1), Claim(1, "x")),
-        ("d2.3 c2x", (2, 3), Claim(0, "")),  # a number that was used is nobody's to claim
-        ("c3y d2.9", (0, 0), Claim(3, "y")),  # an order that was overtaken is refused
-        ("d1.2 d1.1 d1.2", (1, 2), Claim(0, "")),  # late and doubled ones
-        ("c1y d1.1", (1, 1), Claim(1, "y")),  # more than half granted it to another: its order stands
+        ("d2.3 c2x", (2, 3), Claim(0, "")),  # a number that was used cannot be claimed
+        ("c3y d2.9", (0, 0), Claim(3, "y")),  # a superseded document is refused
+        ("d1.2 d1.1 d1.2", (1, 2), Claim(0, "")),  # reordered and duplicate documents
+        ("c1y d1.1", (1, 1), Claim(1, "y")),  # another driver won the majority: its document is accepted
     ],
 )  # fmt: skip
-def test_what_a_node_takes(steps: str, held: tuple[int, int], claim: Claim) -> None:
+def test_which_claims_and_documents_a_node_accepts(
+    steps: str, version: tuple[int, int], claim: Claim
+) -> None:
     node = AcceptorState()
     for step in steps.split():
         if step[0] == "c":
             node.grant(Claim(int(step[1:-1]), step[-1]))
         else:
-            node.accept(a_document(*map(int, step[1:].split("."))))
-    assert (node.version, node.claim) == (held, claim)
+            node.accept(make_document(*map(int, step[1:].split("."))))
+    assert (node.version, node.claim) == (version, claim)
 
 
-def test_a_merge_patch() -> None:
+def test_merge_patch() -> None:
     settings = {"a": {"b": 1, "c": 2}, "d": [1], "e": 0}
     patched = apply_merge_patch(settings, {"a": {"b": None, "x": 3}, "d": [2], "e": None})
     assert patched == {"a": {"c": 2, "x": 3}, "d": [2]}
     assert settings == {"a": {"b": 1, "c": 2}, "d": [1], "e": 0}
 
 
-GOOD = """
+VALID_PLAN = """
 stages = [1, 0.5, 1.0]
 [change]
 name = "fewer pushes"
@@ -70,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "names"),
+    ("old", "new", "expected"),
     [
         ("", "", ""), ("stages = [1, 0.5, 1.0]", "stages = [1, 0.5]", "last stage"),
         ("stages = [1, 0.5, 1.0]", "stages = [2, 0.5, 1.0]", "grow"),
@@ -82,84 +84,94 @@
         ("stages", "zones = { c = 'z' }\nstages", "zones"), ("stages", "see = 2\nstages", "see"),
     ],
 )  # fmt: skip
-def test_a_bad_file_is_one_line(tmp_path: Path, old: str, new: str, names: str) -> None:
+def test_invalid_plan_is_reported_in_one_line(tmp_path: Path, old: str, new: str, expected: str) -> None:
     path = tmp_path / "change.toml"
-    path.write_text(GOOD.replace(old, new, 1) if old else GOOD)
-    if not names:
+    path.write_text(VALID_PLAN.replace(old, new, 1) if old else VALID_PLAN)
+    if not expected:
         assert load(path).stage_sizes() == [1, 1, 2]
         return
     with pytest.raises(MalformedError) as error:
         load(path)
-    assert names in str(error.value) and "\n" not in str(error.value)
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
-def test_turns_alternate_between_zones_and_some_come_first() -> None:
+def test_rollout_order_alternates_between_zones_after_first_nodes() -> None:
     plan = virtual.make_plan(6, zones={"n000": "a", "n001": "a", "n002": "a"}, first=("n005",))
     assert plan.rollout_order() == ["n005", "n003", "n000", "n004", "n001", "n002"]
 
 
 @given(st.integers(1, 40), st.integers(1, 40), st.integers(0, 80), st.floats(1.01, 5.0))
-def test_a_fair_bet_gains_nothing(old: int, new: int, whole: int, borne: float) -> None:
-    """Over all that may be seen where the odds ratio is what is borne, wealth is at most 1 on average."""
+def test_expected_e_value_is_at_most_1_without_a_regression(
+    old: int, new: int, total_hits: int, tolerated: float
+) -> None:
+    """Mean over all possible windows if the true odds ratio is the tolerated one."""
     from thornladder.rollout.judge import _likelihood
 
-    whole = min(whole, old + new)
-    average = 0.0
-    for hits in range(max(whole - old, 0), min(whole, new) + 1):
-        bet = OddsRatioTest()
-        bet.observe(ComparisonWindow([old, new], [whole - hits, hits]), borne)
-        average += bet.e_value * (_likelihood(old, new, whole, hits, borne) if 0 < whole < old + new else 1.0)
-        if not 0 < whole < old + new:
+    total_hits = min(total_hits, old + new)
+    mean = 0.0
+    for hits in range(max(total_hits - old, 0), min(total_hits, new) + 1):
+        test = OddsRatioTest()
+        test.observe(ComparisonWindow([old, new], [total_hits - hits, hits]), tolerated)
+        mean += test.e_value * (
+            _likelihood(old, new, total_hits, hits, tolerated) if 0 < total_hits < old + new else 1.0
+        )
+        if not 0 < total_hits < old + new:
             break
-    assert average <= 1.0 + 1e-6
+    assert mean <= 1.0 + 1e-6
 
 
-@pytest.mark.parametrize("harm", virtual.REGRESSIONS, ids=lambda harm: harm.name)
-def test_each_harm_is_stopped_before_half_of_the_fleet_and_undone(harm: virtual.Regression) -> None:
-    end = simulated(12, 3, harm, "ours", False)
-    assert end.phase is Phase.ROLLED_BACK and end.max_new_nodes < 6 and end.remaining_new_nodes == 0, end
+@pytest.mark.parametrize("regression", virtual.REGRESSIONS, ids=lambda regression: regression.name)
+def test_regression_is_rolled_back_before_half_of_the_fleet_has_it(regression: virtual.Regression) -> None:
+    outcome = simulated(12, 3, regression, "ours", False)
+    assert (
+        outcome.phase is Phase.ROLLED_BACK and outcome.max_new_nodes < 6 and outcome.remaining_new_nodes == 0
+    ), outcome
 
 
-def test_troubles_that_hit_both_sides_stop_nothing_as_judging_by_the_mean_would() -> None:
-    ends = {judge: [simulated(12, seed, SOUND_ONE, judge, True).phase for seed in range(12)]
-            for judge in ("ours", "threshold")}  # fmt: skip
-    assert ends["ours"] == [Phase.DONE] * 12 and Phase.ROLLED_BACK in ends["threshold"]
+def test_incidents_on_both_sides_do_not_stop_a_sound_change() -> None:
+    """A judge that compares the mean with a threshold stops some of these changes."""
+    phases = {judge: [simulated(12, seed, SOUND_ONE, judge, True).phase for seed in range(12)]
+              for judge in ("ours", "threshold")}  # fmt: skip
+    assert phases["ours"] == [Phase.DONE] * 12 and Phase.ROLLED_BACK in phases["threshold"]
 
 
-def test_the_driver_may_die_at_each_of_its_acts() -> None:
+def test_driver_may_crash_before_any_of_its_actions() -> None:
     sound, refused = every_death(SOUND_ONE), every_death(REFUSED)
     assert set(sound) == {("done", 1)} and len(sound) > 15
     assert set(refused) == {("undone", 1)} and len(refused) > 5
 
 
-def a_short_play(fleet: virtual.Fleet, seconds: int, **more: Any) -> tuple[Driver, list[Record], list[int]]:
-    plan = virtual.make_plan(len(fleet.nodes), before=3.0, watch=3.0, least=5, least_each=0, **more)
-    driver, log, runs = Driver(plan, "d"), [], []
+def run_short_rollout(
+    fleet: virtual.Fleet, seconds: int, **options: Any
+) -> tuple[Driver, list[Record], list[int]]:
+    """Driver, its log, and the number of nodes on the new variant after each second."""
+    plan = virtual.make_plan(len(fleet.nodes), before=3.0, watch=3.0, least=5, least_each=0, **options)
+    driver, log, new_nodes = Driver(plan, "d"), [], []
     for _ in range(seconds):
         fleet.advance_second()
         fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
-        runs.append(sum(map(fleet.new, fleet.nodes.values())))
-    return driver, log, runs
+        new_nodes.append(sum(map(fleet.runs_new_variant, fleet.nodes.values())))
+    return driver, log, new_nodes
 
 
-def test_a_driver_that_is_cut_off_goes_no_further() -> None:
+def test_driver_without_enough_reachable_nodes_does_not_start() -> None:
     fleet = virtual.Fleet(4, 1, SOUND_ONE, rate=10.0)
-    fleet.cut = {"n002", "n003"}
-    driver, log, runs = a_short_play(fleet, 60)
-    assert "sees 2 of 4" in driver.waiting_reason and not any(runs) and driver.document is None
+    fleet.unreachable = {"n002", "n003"}
+    driver, log, new_nodes = run_short_rollout(fleet, 60)
+    assert "sees 2 of 4" in driver.waiting_reason and not any(new_nodes) and driver.document is None
 
 
-def test_a_stage_that_saw_nothing_waits_and_then_holds() -> None:
-    driver, log, runs = a_short_play(virtual.Fleet(4, 1, SOUND_ONE, rate=0.001), 200)
-    assert driver.phase is Phase.HOLD and "saw too little" in driver.message and max(runs) == 1
+def test_stage_without_traffic_waits_and_then_holds() -> None:
+    driver, log, new_nodes = run_short_rollout(virtual.Fleet(4, 1, SOUND_ONE, rate=0.001), 200)
+    assert driver.phase is Phase.HOLD and "saw too little" in driver.message and max(new_nodes) == 1
 
 
-def test_a_person_stops_it_and_has_it_go_on() -> None:
+def test_operator_stops_resumes_and_rolls_back() -> None:
     fleet = virtual.Fleet(4, 1, SOUND_ONE, rate=10.0)
-    driver, log, _ = a_short_play(fleet, 8, at_stop="hold")
+    driver, log, _ = run_short_rollout(fleet, 8, at_stop="hold")
     fleet.carry_out(driver.stop(), log)
     assert driver.finished and 0 < sum(driver.document.lines.values()) < 4
-    driver = Driver(driver.plan, "d", log)  # the one that `start` begins later
+    driver = Driver(driver.plan, "d", log)  # as a later `start` does
     fleet.carry_out(driver.resume(), log)
     for _ in range(60):
         fleet.advance_second()
@@ -173,19 +185,19 @@
     assert driver.phase is Phase.ROLLED_BACK and {node.running for node in fleet.nodes.values()} == {0}
 
 
-def test_a_node_that_was_away_takes_what_the_fleet_has() -> None:
+def test_node_that_was_unreachable_catches_up() -> None:
     fleet = virtual.Fleet(8, 1, SOUND_ONE, rate=10.0)
-    fleet.cut = {"n007"}
-    driver, log, _ = a_short_play(fleet, 180)
+    fleet.unreachable = {"n007"}
+    driver, log, _ = run_short_rollout(fleet, 180)
     assert driver.phase is Phase.DONE and fleet.nodes["n007"].running == 0
-    fleet.cut = set()
+    fleet.unreachable = set()
     for _ in range(10):
         fleet.advance_second()
         fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
     assert fleet.nodes["n007"].running == 1
 
 
-def test_programs_that_cannot_live_side_by_side_are_refused_before_anything() -> None:
+def test_incompatible_protocol_versions_are_refused_before_any_change() -> None:
     fleet = virtual.Fleet(4, 1, SOUND_ONE)
     plan = virtual.make_plan(4)
     change = msgspec.structs.replace(plan.change, settings={}, program=("p",), speaks={"members": 2})
@@ -194,27 +206,27 @@
     driver = Driver(plan, "d")
     for _ in range(5):
         fleet.advance_second()
-        seen = {name: msgspec.structs.replace(each, speaks={"members": 1})
-                for name, each in fleet.reports().items()}  # fmt: skip
-        fleet.carry_out(driver.step(fleet.now, seen), [])
+        reports = {name: msgspec.structs.replace(report, speaks={"members": 1})
+                   for name, report in fleet.reports().items()}  # fmt: skip
+        fleet.carry_out(driver.step(fleet.now, reports), [])
     assert driver.phase is Phase.REFUSED and "members" in driver.message
-    assert all(node.held.document is None for node in fleet.nodes.values())
+    assert all(node.acceptor.document is None for node in fleet.nodes.values())
 
 
-def test_exploration_finds_no_breach_and_finds_planted_ones() -> None:
+def test_exploration_finds_planted_bugs_and_no_others() -> None:
     assert explore.explore(30, 3000).breach == ""
     assert "no driver has written" in explore.explore(30, 10_000, explore.ActsFirst).breach
-    assert [each for each in map(walked, range(40)) if each] == []
+    assert [violation for violation in map(walked, range(40)) if violation] == []
 
 
-def test_a_log_that_is_damaged_is_refused(tmp_path: Path) -> None:
+def test_damaged_log_is_refused(tmp_path: Path) -> None:
     store = Store(tmp_path / "log")
     store.write(Record(Phase.CLAIM.value, 0, "claims", Claim(1, "d")), 1.0)
     assert store.records()[0][1].claim == Claim(1, "d")
     assert store.get_or_set("driver", "a") == store.get_or_set("driver", "b") == "a"
     store.close()
-    with sqlite3.connect(tmp_path / "log") as base:
-        base.execute("update records set text = 'x'")
+    with sqlite3.connect(tmp_path / "log") as connection:
+        connection.execute("update records set text = 'x'")
     with pytest.raises(MalformedError):
         Store(tmp_path / "log").records()
     (tmp_path / "none").write_bytes(b"not a base" * 1000)
@@ -222,40 +234,40 @@
         Store(tmp_path / "none")
 
 
-def test_help_and_a_bad_file_on_the_command_line(tmp_path: Path) -> None:
+def test_plan_command_checks_the_file_and_prints_the_stages(tmp_path: Path) -> None:
     from typer.testing import CliRunner
 
     (tmp_path / "c.toml").write_text("stages = 3")
-    told = CliRunner().invoke(app, ["rollout", "plan", str(tmp_path / "c.toml")])
-    assert told.exit_code == 2
-    (tmp_path / "c.toml").write_text(GOOD)
-    told = CliRunner().invoke(app, ["rollout", "plan", str(tmp_path / "c.toml")])
-    assert told.exit_code == 0 and "stage 1: a" in told.stdout
+    result = CliRunner().invoke(app, ["rollout", "plan", str(tmp_path / "c.toml")])
+    assert result.exit_code == 2
+    (tmp_path / "c.toml").write_text(VALID_PLAN)
+    result = CliRunner().invoke(app, ["rollout", "plan", str(tmp_path / "c.toml")])
+    assert result.exit_code == 0 and "stage 1: a" in result.stdout
 
 
-MORE = {"before": 3.0, "watch": 3.0, "least": 5, "least_each": 0, "stages": [1, 1.0], "false_stops": 1e-6,
-        "longest": 100.0}  # fmt: skip
+PLAN_OPTIONS = {"before": 3.0, "watch": 3.0, "least": 5, "least_each": 0, "stages": [1, 1.0],
+                "false_stops": 1e-6, "longest": 100.0}  # fmt: skip
 
 
-def rolled(change: Rolling, faults: list[Fault], until: str) -> dict[str, Any]:
-    """Three nodes with keepers; until the driver has ended, however long that takes here."""
+def run_on_processes(change: Rolling, faults: list[Fault], expected_phase: str) -> dict[str, Any]:
+    """Runs three nodes with keepers until the driver ends, without a time limit."""
     plan = play.Plan(seconds=300.0, nodes=3, membership=False, load=Load(rate=30.0), change=change,
                      faults=faults, until_changed=True)  # fmt: skip
-    told = play.run(plan, 1)
-    broken = [each for each in told["checks"] if not each["holds"]]
-    last = told["rollout"]["records"][-1]
-    assert last[1] == until and not broken, (last, broken)
-    return told["rollout"]
+    result = play.run(plan, 1)
+    failed_checks = [check for check in result["checks"] if not check["holds"]]
+    last_record = result["rollout"]["records"][-1]
+    assert last_record[1] == expected_phase and not failed_checks, (last_record, failed_checks)
+    return result["rollout"]
 
 
-def test_on_processes_settings_go_round_though_the_driver_is_killed_and_cut_off() -> None:
+def test_settings_reach_all_processes_despite_a_killed_and_partitioned_driver() -> None:
     cut = Fault(kind="cut", at=12.0, lasts=4.0, source=(DRIVER,), target=("n01", "n02"), both=True)
-    told = rolled(Rolling(at=0.0, settings=SOUND, more=MORE, killed=[5.0]), [cut], "done")
-    assert {(node["line"], node["running"]) for node in told["nodes"].values()} == {(1, 1)}
-    assert len(told["drivers"]) == 2
+    result = run_on_processes(Rolling(at=0.0, settings=SOUND, more=PLAN_OPTIONS, killed=[5.0]), [cut], "done")
+    assert {(node["line"], node["running"]) for node in result["nodes"].values()} == {(1, 1)}
+    assert len(result["drivers"]) == 2
 
 
-def test_on_processes_a_program_that_ends_at_its_start_never_serves() -> None:
-    told = rolled(Rolling(at=0.0, flaw="start", more=MORE), [], "undone")
-    assert {(node["line"], node["running"]) for node in told["nodes"].values()} == {(0, 0)}
-    assert max(row[4] or 0 for row in told["records"]) == 1
+def test_program_that_exits_at_start_never_serves() -> None:
+    result = run_on_processes(Rolling(at=0.0, flaw="start", more=PLAN_OPTIONS), [], "undone")
+    assert {(node["line"], node["running"]) for node in result["nodes"].values()} == {(0, 0)}
+    assert max(row[4] or 0 for row in result["records"]) == 1
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -157,7 +157,7 @@
 def counting(rounds: int = 9, many: int = 20_000) -> float:
     """Microseconds that an invocation costs more with counters than without: the median of pairs."""
     counters = Counters()
-    counters.targets = {"look": 0.2}
+    counters.target_seconds = {"look": 0.2}
     watched, _ = counters.wrap(Sink(), lambda *given: None)
     message = UpstreamRequest("GET", "/look", [], b"")
     more = []
--- a/thornladder/rollout/__init__.py
+++ b/thornladder/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A rolling change of program or settings, in stages, judged as it goes."""
+"""Staged rollout of a new program or new settings over a fleet, with automatic rollback."""
--- a/thornladder/rollout/explore.py
+++ b/thornladder/rollout/explore.py
@@ -1,7 +1,7 @@
-"""Bounded exhaustive exploration: three nodes and two drivers, every order of delivery, loss, and death.
+"""Bounded model checking: three nodes, two drivers, every order of delivery, loss and driver crash.
 
-The driver's and the nodes' own code runs, not a copy. A driver dies between any two of its acts, and goes on
-from its log alone; the second one begins whenever it likes.
+It runs the real code of the driver and the nodes, not a model of it. A driver may crash between any two of
+its actions and restart from its log alone; the second driver may start at any time.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 NODES = ("a", "b", "c")
 DRIVERS = ("x", "y")
-VIEWS = (NODES, ("a", "b"), ("c",))  # whom a look reaches
-MAX_IN_FLIGHT = 3  # more are lost, as in a full queue
+REACHABLE_SETS = (NODES, ("a", "b"), ("c",))  # the nodes that one poll of a driver may reach
+MAX_IN_FLIGHT = 3  # further messages are lost, as in a full queue
 
 
 def make_plan(name: str) -> Plan:
@@ -30,149 +30,175 @@
 
 
 class Message(NamedTuple):
+    """A claim or document on its way to a node."""
+
     node: str
-    what: Claim | Document
+    payload: Claim | Document
 
 
 @dataclass
 class State:
-    held: dict[str, AcceptorState] = field(default_factory=lambda: {name: AcceptorState() for name in NODES})
+    """State of the whole system between two steps."""
+
+    acceptors: dict[str, AcceptorState] = field(
+        default_factory=lambda: {name: AcceptorState() for name in NODES}
+    )
     logs: dict[str, list[Record]] = field(default_factory=lambda: {name: [] for name in DRIVERS})
     drivers: dict[str, Driver] = field(default_factory=dict)
-    acts: dict[str, list] = field(default_factory=lambda: {name: [] for name in DRIVERS})
-    flying: list[Message] = field(default_factory=list)
-    kills: int = 1
+    pending_actions: dict[str, list] = field(default_factory=lambda: {name: [] for name in DRIVERS})
+    in_flight: list[Message] = field(default_factory=list)
+    kills_left: int = 1
     now: float = 0.0
 
     def key(self) -> bytes:
-        drivers = [(each.phase.value, each.stage, each.claim, each.document, sorted(each.ordered))
-                   for each in self.drivers.values()]  # fmt: skip
-        acts = [[type(act).__name__, *act] for acts in self.acts.values() for act in acts]
-        logs = [len(log) for log in self.logs.values()]
-        return msgspec.msgpack.encode([self.held, logs, drivers, acts, self.flying, self.kills])
+        """Equal for states that need not be told apart."""
+        drivers = [(driver.phase.value, driver.stage, driver.claim, driver.document,
+                    sorted(driver.pending_since))
+                   for driver in self.drivers.values()]  # fmt: skip
+        actions = [
+            [type(action).__name__, *action]
+            for actions in self.pending_actions.values()
+            for action in actions
+        ]
+        log_lengths = [len(log) for log in self.logs.values()]
+        return msgspec.msgpack.encode(
+            [self.acceptors, log_lengths, drivers, actions, self.in_flight, self.kills_left]
+        )
 
 
 class NoFindings(Judge):
-    """Finds nothing: here it is about orders alone."""
+    """Never finds a regression, as only the protocol is explored here."""
 
-    def observe(self, *given: object, **more: object) -> None:
+    def observe(self, *args: object, **kwargs: object) -> None:
         return None
 
 
-def initial_state(make: type[Driver]) -> State:
-    spot = State()
+def initial_state(driver_class: type[Driver]) -> State:
+    state = State()
     for name in DRIVERS:
-        spot.drivers[name] = make(make_plan(name), name, judge=NoFindings(make_plan(name).worse, 0.01))
-    return spot
+        state.drivers[name] = driver_class(
+            make_plan(name), name, judge=NoFindings(make_plan(name).worse, 0.01)
+        )
+    return state
 
 
-def possible_steps(spot: State) -> list[str]:
-    can = [f"{what} {k}" for k in range(len(spot.flying)) for what in ("deliver", "lose")]
-    for name, driver in spot.drivers.items():
-        if spot.acts[name]:
-            can.append(f"act {name}")
+def possible_steps(state: State) -> list[str]:
+    steps = [f"{verb} {k}" for k in range(len(state.in_flight)) for verb in ("deliver", "lose")]
+    for name, driver in state.drivers.items():
+        if state.pending_actions[name]:
+            steps.append(f"act {name}")
         elif not driver.finished:
-            can += [f"look {name} {view}" for view in range(len(VIEWS))]
-        if spot.kills and (spot.logs[name] or spot.acts[name]):
-            can.append(f"kill {name}")
-    return can
-
-
-def apply_step(spot: State, choice: str, make: type[Driver]) -> str:
-    """Does it, in place; what is broken after it, if anything is."""
-    what, which, *rest = choice.split()
-    if what in ("deliver", "lose"):
-        each = spot.flying.pop(int(which))
-        if what == "lose":
+            steps += [f"look {name} {index}" for index in range(len(REACHABLE_SETS))]
+        if state.kills_left and (state.logs[name] or state.pending_actions[name]):
+            steps.append(f"kill {name}")
+    return steps
+
+
+def apply_step(state: State, step: str, driver_class: type[Driver]) -> str:
+    """Applies a step in place; returns the violated invariant, or an empty string."""
+    verb, target, *rest = step.split()
+    if verb in ("deliver", "lose"):
+        message = state.in_flight.pop(int(target))
+        if verb == "lose":
             return ""
-        held, before = spot.held[each.node], spot.held[each.node].version
-        if isinstance(each.what, Claim):
-            held.grant(each.what)
+        acceptor, before = state.acceptors[message.node], state.acceptors[message.node].version
+        if isinstance(message.payload, Claim):
+            acceptor.grant(message.payload)
         else:
-            held.accept(each.what)
-        return "a node went back to an older order" if held.version < before else broken(spot)
-    driver = spot.drivers[which]
-    if what == "look":
-        spot.now += 100.0  # longer than any wait
-        seen = {name: _seen(name, spot.held[name]) for name in VIEWS[int(rest[0])]}
-        spot.acts[which] = list(driver.step(spot.now, seen))
-    elif what == "act":
-        act = spot.acts[which].pop(0)
-        if isinstance(act, WriteRecord):
-            spot.logs[which].append(act.record)
+            acceptor.accept(message.payload)
+        return (
+            "a node went back to an older order" if acceptor.version < before else violated_invariant(state)
+        )
+    driver = state.drivers[target]
+    if verb == "look":
+        state.now += 100.0  # longer than any timeout
+        reports = {name: _report(name, state.acceptors[name]) for name in REACHABLE_SETS[int(rest[0])]}
+        state.pending_actions[target] = list(driver.step(state.now, reports))
+    elif verb == "act":
+        action = state.pending_actions[target].pop(0)
+        if isinstance(action, WriteRecord):
+            state.logs[target].append(action.record)
         else:
-            sent = act.claim if isinstance(act, RequestClaim) else act.document
-            spot.flying += [Message(name, sent) for name in act.names]
-            del spot.flying[MAX_IN_FLIGHT:]
+            payload = action.claim if isinstance(action, RequestClaim) else action.document
+            state.in_flight += [Message(name, payload) for name in action.names]
+            del state.in_flight[MAX_IN_FLIGHT:]
     else:
-        spot.kills -= 1
-        spot.acts[which] = []
-        plan = make_plan(which)
-        spot.drivers[which] = make(plan, which, spot.logs[which], NoFindings(plan.worse, 0.01))
-    return broken(spot)
+        state.kills_left -= 1
+        state.pending_actions[target] = []
+        plan = make_plan(target)
+        state.drivers[target] = driver_class(plan, target, state.logs[target], NoFindings(plan.worse, 0.01))
+    return violated_invariant(state)
 
 
-def _seen(name: str, held: AcceptorState) -> NodeReport:
-    running = held.document.lines[name] if held.document else 0
-    return NodeReport(name, held.document, held.claim, running)
+def _report(name: str, acceptor: AcceptorState) -> NodeReport:
+    running = acceptor.document.lines[name] if acceptor.document else 0
+    return NodeReport(name, acceptor.document, acceptor.claim, running)
 
 
-def broken(spot: State) -> str:
-    written: dict[tuple[int, int], Document] = {}
-    for log in spot.logs.values():
+def violated_invariant(state: State) -> str:
+    """Each version is one document, and nodes have only documents that a driver has logged."""
+    logged: dict[tuple[int, int], Document] = {}
+    for log in state.logs.values():
         for record in log:
             document = record.document
-            if document is not None and written.setdefault(document.version, document) != document:
+            if document is not None and logged.setdefault(document.version, document) != document:
                 return f"two documents are both {document.version[0]}.{document.version[1]}"
-    for name, held in spot.held.items():
-        if held.document is not None and written.get(held.document.version) != held.document:
+    for name, acceptor in state.acceptors.items():
+        if acceptor.document is not None and logged.get(acceptor.document.version) != acceptor.document:
             return f"{name} holds what no driver has written"
     return ""
 
 
-def explore(depth: int, most: int, make: type[Driver] = Driver) -> Result:
-    """All states that `depth` steps lead to, or the first `most` of them."""
+def explore(depth: int, max_states: int, driver_class: type[Driver] = Driver) -> Result:
+    """Explores all states within `depth` steps, or the first `max_states` of them."""
     return breadth_first(
-        initial_state(make), possible_steps, lambda spot, choice: apply_step(spot, choice, make), depth, most
+        initial_state(driver_class),
+        possible_steps,
+        lambda state, step: apply_step(state, step, driver_class),
+        depth,
+        max_states,
     )
 
 
-def run_to_quiet(spot: State, make: type[Driver] = Driver, most: int = 200) -> str:
-    """From here on all goes well: what the fleet ends in, where that is nothing stated."""
-    for round in range(most):
+def run_to_quiet(state: State, driver_class: type[Driver] = Driver, max_rounds: int = 200) -> str:
+    """Continues without faults until the drivers finish.
+
+    Returns the violated invariant, or what is wrong with the final state; otherwise an empty string.
+    """
+    for round in range(max_rounds):
         for name in (*DRIVERS, DRIVERS[round % 2]):
-            while spot.acts[name]:
-                apply_step(spot, f"act {name}", make)
-            while spot.flying:
-                if wrong := apply_step(spot, "deliver 0", make):
-                    return wrong
-            if not spot.drivers[name].finished or round > most - 3:
-                apply_step(spot, f"look {name} 0", make)
-    orders = {held.version for held in spot.held.values()}
-    phases = [driver.phase for driver in spot.drivers.values()]
-    if not all(driver.finished for driver in spot.drivers.values()):
+            while state.pending_actions[name]:
+                apply_step(state, f"act {name}", driver_class)
+            while state.in_flight:
+                if violation := apply_step(state, "deliver 0", driver_class):
+                    return violation
+            if not state.drivers[name].finished or round > max_rounds - 3:
+                apply_step(state, f"look {name} 0", driver_class)
+    versions = {acceptor.version for acceptor in state.acceptors.values()}
+    phases = [driver.phase for driver in state.drivers.values()]
+    if not all(driver.finished for driver in state.drivers.values()):
         return f"a driver never ends: {[phase.value for phase in phases]}"
-    if Phase.DONE in phases and len(orders) != 1:
-        return f"nodes hold different orders: {orders}"
+    if Phase.DONE in phases and len(versions) != 1:
+        return f"nodes hold different orders: {versions}"
     return ""
 
 
 class ActsFirst(Driver):
-    """Planted: sends before it writes."""
+    """Planted bug: sends a document before logging it."""
 
-    def _transition(self, *given: object, **more: object) -> list:
-        return list(reversed(super()._transition(*given, **more)))
+    def _transition(self, *args: object, **kwargs: object) -> list:
+        return list(reversed(super()._transition(*args, **kwargs)))
 
 
 class AnyGrant(Driver):
-    """Planted: begins on the grant of one node."""
+    """Planted bug: starts when a single node has granted the claim, without a quorum."""
 
-    def _acquire_claim(self, seen: dict[str, NodeReport]) -> list:
+    def _acquire_claim(self, reports: dict[str, NodeReport]) -> list:
         if self.claim is not None:
-            whole = self.plan
-            self.plan = msgspec.structs.replace(whole, nodes={"a": "10.0.0.1:1"})
+            original = self.plan
+            self.plan = msgspec.structs.replace(original, nodes={"a": "10.0.0.1:1"})
             try:
-                return super()._acquire_claim(seen)
+                return super()._acquire_claim(reports)
             finally:
-                self.plan = whole
-        return super()._acquire_claim(seen)
+                self.plan = original
+        return super()._acquire_claim(reports)
--- a/thornladder/rollout/orders.py
+++ b/thornladder/rollout/orders.py
@@ -1,9 +1,10 @@
-"""What the whole fleet is to run, as one numbered document; what a node holds of it and takes. No I/O.
+"""The versioned document of what the whole fleet runs, and the rules by which a node accepts it. No I/O.
 
-A document is whole: it has a line for every node, so that the newest one anywhere says what each is to run,
-whoever brings it. (number, revision) orders them. A number is one driver's: it must first be granted by more
-than half of the written list, and who granted a number takes nothing of a lower one. So at most one driver
-ever writes under a number, and an order that was overtaken is refused by the nodes themselves.
+A document is complete: it assigns a variant to every node, so the newest document found anywhere says what
+each node is to run, whoever delivers it. Documents are ordered by (number, revision). A number belongs to one
+driver: a majority of the nodes listed in the plan must first grant its claim to the number, and a node that
+has granted a number accepts no document with a lower one. So at most one driver ever writes under a number,
+and the nodes themselves fence off superseded drivers.
 """
 
 from __future__ import annotations
@@ -13,25 +14,27 @@
 import msgspec
 
 FORMAT_VERSION = 1
-MAX_DOCUMENT_BYTES = 512 * 1024  # bytes
+MAX_DOCUMENT_BYTES = 512 * 1024
 
 
 class Variant(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Something that nodes can run."""
+    """A combination of program and settings that nodes can run."""
 
     name: str
-    patch: dict[str, Any] = {}  # on the node's own settings, by RFC 7396
-    program: tuple[str, ...] = ()  # words of its command; none: as the keeper's own file says
+    patch: dict[str, Any] = {}  # JSON merge patch (RFC 7396) on the node's own settings
+    program: tuple[str, ...] = ()  # command line; empty: the one in the keeper's own file
 
 
 class Document(msgspec.Struct, frozen=True):
+    """What every node of the fleet is to run, as of one step of a change."""
+
     number: int  # of the change
-    revision: int  # from 1; each step of a change is one
+    revision: int  # within the change, from 1
     driver: str
     change: str
     variants: list[Variant]
-    lines: dict[str, int]  # node to variant
-    before: dict[str, int]  # the lines at the change's start, for its undoing
+    lines: dict[str, int]  # node to index of its variant
+    before: dict[str, int]  # `lines` before the change, for a rollback
     stands: str  # "going", "hold", "undoing", "done", "undone"
     form: int = FORMAT_VERSION
 
@@ -41,6 +44,8 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
+    """A driver's claim to a change number."""
+
     number: int
     driver: str
 
@@ -49,7 +54,7 @@
 
 
 class AcceptorState(msgspec.Struct):
-    """What one node holds, and the only place where it is decided what it takes."""
+    """One node's document and granted claim; all decisions on accepting others are made here."""
 
     document: Document | None = None
     claim: Claim = NO_CLAIM
@@ -59,7 +64,7 @@
         return self.document.version if self.document else (0, 0)
 
     def grant(self, claim: Claim) -> str | None:
-        """None: granted, for ever. Else why not."""
+        """Grants a claim permanently and returns None, or returns why it is refused."""
         if claim == self.claim:
             return None
         highest = max(self.claim.number, self.version[0])
@@ -69,7 +74,7 @@
         return None
 
     def accept(self, document: Document) -> str | None:
-        """None: it is held from now on, or was already. Else why not."""
+        """Stores a document, also one that it has already, and returns None, or returns why it is refused."""
         if document.form != FORMAT_VERSION:
             return f"form {document.form} is not understood"
         if document.number < self.claim.number:
@@ -81,7 +86,7 @@
 
 
 def apply_merge_patch(settings: Any, patch: Any) -> Any:
-    """A JSON merge patch: null takes a key away, objects merge, all else replaces."""
+    """Returns `settings` with a JSON merge patch (RFC 7396) applied; the arguments are left unchanged."""
     if not isinstance(patch, dict):
         return patch
     result = dict(settings) if isinstance(settings, dict) else {}
--- a/thornladder/rollout/store.py
+++ b/thornladder/rollout/store.py
@@ -1,7 +1,8 @@
-"""What a driver meant and did, kept: one SQLite file, each record whole on the disk before it is acted on.
+"""The driver's log: a SQLite file in which each record is synced to disk before the driver acts on it.
 
-SQLite was weighed against a file of our own with sums and fsync, and against lmdb: it is in the standard
-library, recovers by itself from a kill at any point, and several processes may read and write it.
+SQLite is in the standard library, recovers from a kill at any point without help, and allows several
+processes to read and write at once; the alternatives were a file format of our own with checksums and fsync,
+and lmdb.
 """
 
 from __future__ import annotations
@@ -23,46 +24,49 @@
 
 
 class Store:
+    """Records, operator requests and metadata of one rollout."""
+
     def __init__(self, path: Path) -> None:
-        """Raises MalformedError where the file is none of ours."""
+        """Raises MalformedError if the file is not such a log."""
         try:
-            self.base = sqlite3.connect(path, isolation_level=None, timeout=10.0)
-            self.base.execute("pragma journal_mode=wal")
-            self.base.execute("pragma synchronous=normal")
-            self.base.executescript(TABLES)
-            self.base.execute("pragma synchronous=full")  # each record is on the disk, with all before it
+            self.connection = sqlite3.connect(path, isolation_level=None, timeout=10.0)
+            self.connection.execute("pragma journal_mode=wal")
+            self.connection.execute("pragma synchronous=normal")
+            self.connection.executescript(TABLES)
+            # From here on, each commit is synced to disk with all earlier ones.
+            self.connection.execute("pragma synchronous=full")
         except sqlite3.DatabaseError as error:
-            raise MalformedError(f"no log of a change: {error}") from None
+            raise MalformedError(f"not a rollout log: {error}") from None
 
     def close(self) -> None:
-        self.base.close()
+        self.connection.close()
 
     def get_or_set(self, name: str, value: str) -> str:
-        """The value under this name; set once, to `value`."""
-        self.base.execute("insert or ignore into about values (?, ?)", (name, value))
-        return self.base.execute("select value from about where name = ?", (name,)).fetchone()[0]
+        """Returns the metadata stored under `name`; stores `value` first if there is none."""
+        self.connection.execute("insert or ignore into about values (?, ?)", (name, value))
+        return self.connection.execute("select value from about where name = ?", (name,)).fetchone()[0]
 
     def write(self, record: Record, at: float) -> None:
-        """On the disk when it returns. `at`: for people alone."""
+        """Appends a record, synced to disk on return; `at` is Unix time and only for display."""
         text = msgspec.json.encode(record)
         row = (at, zlib.crc32(text), text)
-        self.base.execute("insert into records (at, sum, text) values (?, ?, ?)", row)
+        self.connection.execute("insert into records (at, sum, text) values (?, ?, ?)", row)
 
     def records(self) -> list[tuple[float, Record]]:
-        """Raises MalformedError where one does not have its sum: what was meant is then not known."""
-        rows = self.base.execute("select number, at, sum, text from records order by number").fetchall()
-        for number, _, total, text in rows:
-            if not isinstance(text, bytes) or zlib.crc32(text) != total:
+        """Raises MalformedError if a checksum is wrong, as the driver's intent is then unknown."""
+        rows = self.connection.execute("select number, at, sum, text from records order by number").fetchall()
+        for number, _, checksum, text in rows:
+            if not isinstance(text, bytes) or zlib.crc32(text) != checksum:
                 raise MalformedError(f"record {number} of the log is damaged")
         return [(at, msgspec.json.decode(text, type=Record)) for _, at, _, text in rows]
 
     def add_request(self, word: str) -> None:
-        """Of a person, for the driver that runs or the next one."""
-        self.base.execute("insert into wishes (word) values (?)", (word,))
+        """Queues an operator's request for the running driver, or the next one to start."""
+        self.connection.execute("insert into wishes (word) values (?)", (word,))
 
     def pending_requests(self) -> list[str]:
-        rows = self.base.execute("select word from wishes where done = 0 order by number").fetchall()
+        rows = self.connection.execute("select word from wishes where done = 0 order by number").fetchall()
         return [word for (word,) in rows]
 
     def mark_requests_done(self) -> None:
-        self.base.execute("update wishes set done = 1 where done = 0")
+        self.connection.execute("update wishes set done = 1 where done = 0")
--- a/thornladder/rollout/virtual.py
+++ b/thornladder/rollout/virtual.py
@@ -1,7 +1,8 @@
-"""A change in virtual time: the driver and the judge unchanged, on nodes that are only counts.
+"""Simulates a rollout in virtual time: the real driver and judge, on nodes that exist only as counters.
 
-The counts are drawn: rates that differ by node, troubles that hit both sides, and a known harm of the new.
-What it says of the judge is as good as these counts are; the rig plays the same driver on processes.
+The counters are random: rates differ by node, incidents hit both sides, and the new variant has a known
+regression. Results for the judge are only as realistic as these counters; the rig runs the same driver on
+real processes.
 """
 
 from __future__ import annotations
@@ -27,268 +28,309 @@
 from thornladder.rollout.orders import AcceptorState
 from thornladder.rollout.plan import Change, Plan
 
-OFFERINGS = {"look": 0.77, "pay": 0.2, "rare": 0.03}  # shares of what comes
-MEDIAN = {"look": 0.02, "pay": 0.05, "rare": 0.04}  # seconds
-SPREAD = 0.35  # of the logarithm of a time
-BUCKET = 1.05  # times lie in buckets that grow by so much
-TARGET = 0.2  # seconds
-READY = 2.0  # seconds from an order until the node runs it
-START = 1.0  # seconds until a node that ended is back
+OFFERING_SHARES = {"look": 0.77, "pay": 0.2, "rare": 0.03}  # of the traffic
+MEDIAN_LATENCY_SECONDS = {"look": 0.02, "pay": 0.05, "rare": 0.04}
+LATENCY_SIGMA = 0.35  # of the log-normal distribution
+BUCKET_GROWTH = 1.05  # ratio of the bounds of neighbouring latency buckets
+TARGET_SECONDS = 0.2
+CHANGE_SECONDS = 2.0  # from a new assignment until the node runs it
+RESTART_SECONDS = 1.0  # from a crash until the node is back
 
 
 class Regression(NamedTuple):
-    """What the new does worse; nothing for a sound change."""
+    """What the new variant does worse; nothing by default, for a sound change."""
 
     name: str = "sound"
-    bad: float = 0.0  # more of its invocations nacked
-    slower: float = 1.0  # times
-    only: str = ""  # in this offering; none: in all
-    heavy: bool = False  # only at nodes with over twice the mean traffic
-    further: float = 0.0
-    core: float = 1.0
-    leak: float = 0.0  # bytes a second
-    ends: float = math.inf  # seconds after each start
-    ready: bool = True
-    refused: str = ""
+    extra_nack_share: float = 0.0
+    latency_factor: float = 1.0
+    only_offering: str = ""  # the only one affected; empty: all
+    only_busy_nodes: bool = False  # only nodes with over 1.5 times the mean traffic
+    extra_push_share: float = 0.0
+    core_factor: float = 1.0
+    leak_bytes_per_second: float = 0.0
+    crash_after_seconds: float = math.inf  # after each start
+    becomes_ready: bool = True
+    refused: str = ""  # the reason for which nodes refuse the change
 
 
 REGRESSIONS = (
-    Regression("ends at its start", ends=0.3), Regression("ends after a minute", ends=60.0),
-    Regression("never ready", ready=False),
+    Regression("ends at its start", crash_after_seconds=0.3),
+    Regression("ends after a minute", crash_after_seconds=60.0),
+    Regression("never ready", becomes_ready=False),
     Regression("settings refused", refused="it did not take the settings"),
-    Regression("leaks 1 MB/s", leak=1e6),
-    Regression("slower by 20% in 3% of traffic", slower=1.2, only="rare"),
-    Regression("nacks 3% more", bad=0.03),
-    Regression("slower by half at heavy nodes", slower=1.5, heavy=True),
-    Regression("pushes more", further=0.2),
-    Regression("a third more core", core=1.33),
-)  # fmt: skip
+    Regression("leaks 1 MB/s", leak_bytes_per_second=1e6),
+    Regression("slower by 20% in 3% of traffic", latency_factor=1.2, only_offering="rare"),
+    Regression("nacks 3% more", extra_nack_share=0.03),
+    Regression("slower by half at heavy nodes", latency_factor=1.5, only_busy_nodes=True),
+    Regression("pushes more", extra_push_share=0.2),
+    Regression("a third more core", core_factor=1.33),
+)
 
 
 class Incident(NamedTuple):
-    """Hits old and new alike, each node by its own measure."""
+    """A fault that hits old and new nodes alike, scaled by each node's sensitivity."""
 
     at: float
-    lasts: float
-    bad: float
-    slower: float
+    duration: float
+    extra_nack_share: float
+    latency_factor: float
 
 
 @dataclass
-class Node:
+class SimulatedNode:
+    """A node with its keeper."""
+
     name: str
-    rate: float
-    measure: float  # how hard troubles hit it
-    held: AcceptorState = field(default_factory=AcceptorState)
+    rate: float  # invocations per second
+    sensitivity: float  # how hard incidents hit it
+    acceptor: AcceptorState = field(default_factory=AcceptorState)
     running: int = 0
-    due: float = math.inf  # when it runs what it was told
-    began: float = 0.0
+    change_done_at: float = math.inf
+    started_at: float = 0.0
     process: int = 0
     down_until: float = -1.0
     crashes: int = 0
     refused: str = ""
     rows: dict[str, list[int]] = field(default_factory=dict)
-    times: dict[str, dict[int, int]] = field(default_factory=dict)
-    core: float = 0.0
-    memory: float = 60e6
+    latencies: dict[str, dict[int, int]] = field(default_factory=dict)
+    core_seconds: float = 0.0
+    memory_bytes: float = 60e6
     paused_until: float = -1.0
-    shown: tuple[float, dict[str, Any]] | None = None
+    last_counters: tuple[float, dict[str, Any]] | None = None  # when they were read, and the counters
 
 
 class Fleet:
+    """All nodes, and the network between them and the driver."""
+
     def __init__(
-        self, size: int, seed: int, harm: Regression, troubles: Sequence[Incident] = (), rate: float = 30.0
+        self,
+        size: int,
+        seed: int,
+        regression: Regression,
+        incidents: Sequence[Incident] = (),
+        rate: float = 30.0,
     ) -> None:
-        self.chance, self.harm, self.troubles = Random(seed), harm, troubles
-        self.nodes: dict[str, Node] = {}
+        self.random, self.regression, self.incidents = Random(seed), regression, incidents
+        self.nodes: dict[str, SimulatedNode] = {}
         for number in range(size):
             name = f"n{number:03}"
-            each = Node(name, rate * self.chance.lognormvariate(-0.32, 0.8), self.chance.uniform(0.7, 1.3))
-            self.nodes[name] = each
-            self._anew(each, 0.0)
+            node = SimulatedNode(
+                name, rate * self.random.lognormvariate(-0.32, 0.8), self.random.uniform(0.7, 1.3)
+            )
+            self.nodes[name] = node
+            self._reset_process(node, 0.0)
         self.now = 0.0
-        self.harmed = 0  # invocations that were worse for the new
-        self.cut: set[str] = set()  # nodes that the driver does not reach
-        self.mean = sum(each.rate for each in self.nodes.values()) / size
+        self.harmed_invocations = 0  # that the regression affected
+        self.unreachable: set[str] = set()  # nodes that the driver does not reach
+        self.mean_rate = sum(node.rate for node in self.nodes.values()) / size
 
-    def _anew(self, node: Node, now: float) -> None:
+    def _reset_process(self, node: SimulatedNode, now: float) -> None:
         node.process += 1
-        node.began, node.core, node.memory = now, 0.0, 60e6
-        node.rows = {of: [0] * 7 for of in OFFERINGS}
-        node.times = {of: defaultdict(int) for of in OFFERINGS}
+        node.started_at, node.core_seconds, node.memory_bytes = now, 0.0, 60e6
+        node.rows = {offering: [0] * 7 for offering in OFFERING_SHARES}
+        node.latencies = {offering: defaultdict(int) for offering in OFFERING_SHARES}
 
-    def new(self, node: Node) -> bool:
+    def runs_new_variant(self, node: SimulatedNode) -> bool:
         return node.running > 0
 
     def advance_second(self) -> None:
-        """One second of all nodes."""
+        """Simulates one second of all nodes."""
         self.now += 1.0
-        worse = [each for each in self.troubles if each.at <= self.now < each.at + each.lasts]
-        bad = sum(each.bad for each in worse)
-        slower = math.prod(each.slower for each in worse)
+        active = [
+            incident
+            for incident in self.incidents
+            if incident.at <= self.now < incident.at + incident.duration
+        ]
+        extra_nack_share = sum(incident.extra_nack_share for incident in active)
+        latency_factor = math.prod(incident.latency_factor for incident in active)
         for node in self.nodes.values():
-            self._settle(node)
+            self._advance_change(node)
             if self.now < node.down_until:
                 continue
-            if self.new(node) and self.now - node.began >= self.harm.ends:
+            if (
+                self.runs_new_variant(node)
+                and self.now - node.started_at >= self.regression.crash_after_seconds
+            ):
                 node.crashes += 1
-                node.down_until = self.now + START
-                self._anew(node, node.down_until)
+                node.down_until = self.now + RESTART_SECONDS
+                self._reset_process(node, node.down_until)
                 continue
             if self.now >= node.paused_until:
-                self._invocations(node, bad * node.measure, 1.0 + (slower - 1.0) * node.measure)
-
-    def _settle(self, node: Node) -> None:
-        document = node.held.document
-        line = document.lines.get(node.name, 0) if document else 0
-        if line == node.running or (node.refused and line > 0):
-            node.refused = node.refused if line > 0 else ""
-            node.due = math.inf
+                self._serve_invocations(
+                    node,
+                    extra_nack_share * node.sensitivity,
+                    1.0 + (latency_factor - 1.0) * node.sensitivity,
+                )
+
+    def _advance_change(self, node: SimulatedNode) -> None:
+        document = node.acceptor.document
+        assigned = document.lines.get(node.name, 0) if document else 0
+        if assigned == node.running or (node.refused and assigned > 0):
+            node.refused = node.refused if assigned > 0 else ""
+            node.change_done_at = math.inf
             return
-        if node.due == math.inf:
-            node.due = self.now + READY
-        if self.now >= node.due:
-            if line > 0 and self.harm.refused:
-                node.refused = self.harm.refused
-            elif line == 0 or self.harm.ready:
-                node.running, node.due = line, math.inf
-                self._anew(node, self.now)
-
-    def _invocations(self, node: Node, bad: float, slower: float) -> None:
-        harm, chance = self.harm, self.chance
-        hit = self.new(node) and (not harm.heavy or node.rate > 1.5 * self.mean)
-        node.memory += harm.leak if hit else chance.uniform(-1e5, 1e5)
-        for of, share in OFFERINGS.items():
-            count = _poisson(chance, node.rate * share)
-            worse = hit and harm.only in ("", of)
-            median = MEDIAN[of] * slower * (harm.slower if worse else 1.0)
-            row, times = node.rows[of], node.times[of]
+        if node.change_done_at == math.inf:
+            node.change_done_at = self.now + CHANGE_SECONDS
+        if self.now >= node.change_done_at:
+            if assigned > 0 and self.regression.refused:
+                node.refused = self.regression.refused
+            elif assigned == 0 or self.regression.becomes_ready:
+                node.running, node.change_done_at = assigned, math.inf
+                self._reset_process(node, self.now)
+
+    def _serve_invocations(self, node: SimulatedNode, extra_nack_share: float, latency_factor: float) -> None:
+        regression, random = self.regression, self.random
+        node_affected = self.runs_new_variant(node) and (
+            not regression.only_busy_nodes or node.rate > 1.5 * self.mean_rate
+        )
+        node.memory_bytes += regression.leak_bytes_per_second if node_affected else random.uniform(-1e5, 1e5)
+        for offering, share in OFFERING_SHARES.items():
+            count = _poisson(random, node.rate * share)
+            affected = node_affected and regression.only_offering in ("", offering)
+            median = (
+                MEDIAN_LATENCY_SECONDS[offering]
+                * latency_factor
+                * (regression.latency_factor if affected else 1.0)
+            )
+            row, latencies = node.rows[offering], node.latencies[offering]
             for _ in range(count):
-                took = median * math.exp(SPREAD * chance.gauss(0.0, 1.0))
-                nacked = chance.random() < 0.005 + bad + (harm.bad if worse else 0.0)
+                latency = median * math.exp(LATENCY_SIGMA * random.gauss(0.0, 1.0))
+                nacked = random.random() < 0.005 + extra_nack_share + (
+                    regression.extra_nack_share if affected else 0.0
+                )
                 row[0] += 1
                 if nacked:
                     row[1] += 1
                     row[2] += 1
                 else:
-                    row[1] += took > TARGET
-                    times[round(BUCKET ** math.ceil(math.log(took * 1e6, BUCKET)))] += 1
-                row[6] += chance.random() < 0.02 + (harm.further if worse else 0.0)
-            if worse and harm.name != "sound":
-                self.harmed += count
-            node.core += count * 0.001 * chance.uniform(0.9, 1.1) * (harm.core if worse else 1.0)
+                    row[1] += latency > TARGET_SECONDS
+                    latencies[round(BUCKET_GROWTH ** math.ceil(math.log(latency * 1e6, BUCKET_GROWTH)))] += 1
+                row[6] += random.random() < 0.02 + (regression.extra_push_share if affected else 0.0)
+            if affected and regression.name != "sound":
+                self.harmed_invocations += count
+            node.core_seconds += (
+                count * 0.001 * random.uniform(0.9, 1.1) * (regression.core_factor if affected else 1.0)
+            )
 
     def reports(self) -> dict[str, NodeReport]:
-        told = {}
+        """Reports of all nodes that the driver reaches."""
+        reports = {}
         for node in self.nodes.values():
-            if node.name in self.cut:
+            if node.name in self.unreachable:
                 continue
-            serves = self.now >= node.down_until
-            if self.now >= node.paused_until or node.shown is None:
-                node.shown = (self.now, self._counters(node))
-            at, counters = node.shown
-            running = node.running if serves else -1
-            told[node.name] = NodeReport(node.name, node.held.document, node.held.claim, running,
-                                         node.refused, node.crashes, {}, counters if serves else None,
-                                         self.now - at)  # fmt: skip
-        return told
-
-    def _counters(self, node: Node) -> dict[str, Any]:
-        offerings = {of: {"counts": list(row), "times": sorted(node.times[of].items())}
-                     for of, row in node.rows.items()}  # fmt: skip
-        return {"process": f"{node.name}.{node.process}", "seconds": self.now - node.began, "tenants": {},
-                "offerings": offerings, "core": node.core, "memory": node.memory}  # fmt: skip
-
-    def carry_out(self, acts: Sequence[Action], log: list[Record]) -> None:
-        for act in acts:
-            if isinstance(act, WriteRecord):
-                log.append(act.record)
+            is_serving = self.now >= node.down_until
+            if self.now >= node.paused_until or node.last_counters is None:
+                node.last_counters = (self.now, self._counters(node))
+            read_at, counters = node.last_counters
+            running = node.running if is_serving else -1
+            reports[node.name] = NodeReport(node.name, node.acceptor.document, node.acceptor.claim, running,
+                                            node.refused, node.crashes, {},
+                                            counters if is_serving else None,
+                                            self.now - read_at)  # fmt: skip
+        return reports
+
+    def _counters(self, node: SimulatedNode) -> dict[str, Any]:
+        offerings = {offering: {"counts": list(row), "times": sorted(node.latencies[offering].items())}
+                     for offering, row in node.rows.items()}  # fmt: skip
+        return {"process": f"{node.name}.{node.process}", "seconds": self.now - node.started_at,
+                "tenants": {}, "offerings": offerings, "core": node.core_seconds,
+                "memory": node.memory_bytes}  # fmt: skip
+
+    def carry_out(self, actions: Sequence[Action], log: list[Record]) -> None:
+        for action in actions:
+            if isinstance(action, WriteRecord):
+                log.append(action.record)
                 continue
-            for name in act.names:
-                if name not in self.cut:
-                    held = self.nodes[name].held
-                    if isinstance(act, RequestClaim):
-                        held.grant(act.claim)
-                    elif isinstance(act, SendDocument):
-                        held.accept(act.document)
+            for name in action.names:
+                if name not in self.unreachable:
+                    acceptor = self.nodes[name].acceptor
+                    if isinstance(action, RequestClaim):
+                        acceptor.grant(action.claim)
+                    elif isinstance(action, SendDocument):
+                        acceptor.accept(action.document)
 
 
 class Outcome(NamedTuple):
+    """How a simulated rollout ended."""
+
     phase: Phase
-    words: str
-    stage: int  # from 1, of the end
-    seconds: float  # from the change's start to its end, undoing not counted
-    max_new_nodes: int  # nodes that ran the new at once
+    message: str
+    stage: int  # the last one, from 1
+    seconds: float  # from the start to the end, or to the start of the rollback
+    max_new_nodes: int  # that ran the new variant at once
     harmed_invocations: int
-    remaining_new_nodes: int  # nodes that run the new at the end
+    remaining_new_nodes: int  # that run the new variant at the end
 
 
 class NeverStops(Judge):
-    """A baseline that does not look."""
+    """Baseline: a judge that never finds a regression."""
 
     def finding(self) -> Finding:
         return Finding(False, 0.0, "", 0.0, False)
 
 
 class ThresholdJudge(Judge):
-    """A baseline: stopped when the mean share of bad ones at new nodes is over the stated, of late."""
+    """Baseline: stops when the recent mean share of bad invocations at new nodes exceeds a fixed limit."""
 
-    LIMIT = 0.02
-    KEPT = 0.967  # of a look, at the next: some 30 seconds
-    ENOUGH = 100.0  # invocations
+    MAX_BAD_SHARE = 0.02
+    DECAY = 0.967  # per observation: a time constant of about 30 seconds
+    MIN_INVOCATIONS = 100.0
 
-    def __init__(self, *given: Any) -> None:
-        super().__init__(*given)
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
         self.count = self.hits = 0.0
 
-    def observe(self, now: float, told: Any, new: Any, crashes: Any = None, ordered: Any = ()) -> None:
-        before = {name: held.totals for name, held in self.last_seen.items()}
-        super().observe(now, told, new, crashes, ordered)
-        self.count, self.hits = self.KEPT * self.count, self.KEPT * self.hits
+    def observe(self, now: float, counters: Any, new: Any, crashes: Any = None, assigned: Any = ()) -> None:
+        before = {name: last_seen.totals for name, last_seen in self.last_seen.items()}
+        super().observe(now, counters, new, crashes, assigned)
+        self.count, self.hits = self.DECAY * self.count, self.DECAY * self.hits
         for name in set(new) & set(before):
             rows = difference(self.last_seen[name].totals, before[name]).offerings.values()
             self.count += sum(row[0] for row in rows)
             self.hits += sum(row[1] for row in rows)
 
     def finding(self) -> Finding:
-        over = self.count >= self.ENOUGH and self.hits > self.LIMIT * self.count
-        return Finding(over, 0.0, "mean", self.hits / max(self.count, 1.0), False)
+        exceeded = self.count >= self.MIN_INVOCATIONS and self.hits > self.MAX_BAD_SHARE * self.count
+        return Finding(exceeded, 0.0, "mean", self.hits / max(self.count, 1.0), False)
 
 
-def make_plan(size: int, **more: Any) -> Plan:
+def make_plan(size: int, **options: Any) -> Plan:
     nodes = {f"n{number:03}": f"10.0.{number // 250}.{number % 250 + 1}:1" for number in range(size)}
-    return Plan(change=Change(name="new", settings={"a": 1}), nodes=nodes, **more)
+    return Plan(change=Change(name="new", settings={"a": 1}), nodes=nodes, **options)
 
 
 def simulate(
-    fleet: Fleet, plan: Plan, judge: Judge | None = None, most: float = 1500.0
-) -> tuple[Outcome, list[Record]]:  # fmt: skip
+    fleet: Fleet, plan: Plan, judge: Judge | None = None, max_seconds: float = 1500.0
+) -> tuple[Outcome, list[Record]]:
+    """Runs one rollout to its end, or for `max_seconds`; returns its outcome and log."""
     log: list[Record] = []
     driver = Driver(plan, "d", judge=judge)
-    widest, ended = 0, 0.0
-    while fleet.now < most and not driver.finished:
+    max_new_nodes, ended_at = 0, 0.0
+    while fleet.now < max_seconds and not driver.finished:
         fleet.advance_second()
         fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
-        widest = max(widest, sum(map(fleet.new, fleet.nodes.values())))
+        max_new_nodes = max(max_new_nodes, sum(map(fleet.runs_new_variant, fleet.nodes.values())))
         if driver.phase not in (Phase.ROLL_BACK, Phase.ROLLED_BACK):
-            ended = fleet.now
-    why = next((record.words for record in log if record.words.startswith("stopped")), driver.message)
-    left = sum(map(fleet.new, fleet.nodes.values()))
-    return Outcome(driver.phase, why, driver.stage + 1, ended, widest, fleet.harmed, left), log
+            ended_at = fleet.now
+    message = next((record.words for record in log if record.words.startswith("stopped")), driver.message)
+    remaining = sum(map(fleet.runs_new_variant, fleet.nodes.values()))
+    return Outcome(driver.phase, message, driver.stage + 1, ended_at, max_new_nodes,
+                   fleet.harmed_invocations, remaining), log  # fmt: skip
 
 
 def draw_incidents(seed: int) -> list[Incident]:
-    """A few, seeded, that overlap as they fall."""
-    chance = Random(f"troubles {seed}")
-    return [Incident(chance.uniform(0.0, 300.0), chance.uniform(2.0, 60.0), chance.choice((0.0, 0.02, 0.3)),
-                    chance.choice((1.0, 1.5, 4.0))) for _ in range(chance.randint(1, 5))]  # fmt: skip
+    """Draws one to five incidents, which may overlap."""
+    random = Random(f"troubles {seed}")
+    return [Incident(random.uniform(0.0, 300.0), random.uniform(2.0, 60.0),
+                     random.choice((0.0, 0.02, 0.3)), random.choice((1.0, 1.5, 4.0)))
+            for _ in range(random.randint(1, 5))]  # fmt: skip
 
 
-def _poisson(chance: Random, mean: float) -> int:
+def _poisson(random: Random, mean: float) -> int:
     if mean > 50.0:
-        return max(round(chance.gauss(mean, math.sqrt(mean))), 0)
-    limit, count, product = math.exp(-mean), 0, chance.random()
+        return max(round(random.gauss(mean, math.sqrt(mean))), 0)
+    limit, count, product = math.exp(-mean), 0, random.random()
     while product > limit:
         count += 1
-        product *= chance.random()
+        product *= random.random()
     return count
