--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -40,7 +40,7 @@
 class NodeExtension(Protocol):
     """A part that runs beside the node in the same process."""
 
-    descriptors: int  # most that it may hold at once
+    descriptors: int  # file descriptors that it holds at once, at most
 
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         """The admin endpoints that it serves, by path."""
--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -64,9 +64,8 @@
 
     RESPONSE_MARGIN_SECONDS = 0.01  # before the client's cut-off, for the response's way back
     TIMER_RETRY_SECONDS = 1.0  # after an event failed: one interval of the module
-    MAX_LAG_SHARE = (
-        0.25  # of the time left; a larger allowance rejects work that is in time after a brief stall
-    )
+    # Of the time left. A larger allowance rejects work that would be in time once a brief stall is over.
+    MAX_LAG_SHARE = 0.25
 
     MAX_UPLOAD_SECONDS = 900.0  # longer than any body that keeps its pace; the clients' side ends slower ones
     # A node that got no CPU has unread discovery data, which may be older than the drain grace: nothing is
@@ -273,7 +272,7 @@
         return self.discovery_answered or (wait_over and bool(self.maintenance.entries))
 
     def update_settings(self, decisions: dict[str, Any], processes: int = 1) -> None:
-        """Gives the module new settings; each of several processes of a node gets its part of the limits."""
+        """Gives the module new settings; `processes` of this node divide its part of the limits evenly."""
         self.probes = decisions["limits"].probes
         self._dispatch(
             partial(self.node.on_settings, **{**decisions, "nodes": decisions["nodes"] * processes})
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -41,7 +41,8 @@
 EXTENSION_STOP_SECONDS = 0.2  # for an extension to tell other nodes; well within the time to shut down
 SWEEP_SECONDS = 0.15  # between sweeps: a client that may trickle a request for 2.6 s is closed within 3 s
 RESERVED_DESCRIPTORS = 24  # a dozen are neither client nor backend connections, and as many are spare
-BODY_MEMORY_DIVISOR = 4  # part of the memory for streamed bodies, a fixed cost each (`flow.BODY_PIPE_BYTES`)
+# Streamed bodies get one part in this many of the memory, at a fixed cost each (`flow.BODY_PIPE_BYTES`).
+BODY_MEMORY_DIVISOR = 4
 CLIENT_POOL_SHARE = 1.0 / 3.0  # of all descriptors: most connections on which clients send invocations
 CLIENT_SHARE = 0.6  # of the rest: an invocation holds one, and seldom more than one to a backend
 
