--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,4 +1,4 @@
-"""The node held against a reference of when a change counts as told, in virtual time (`rig/told.py`)."""
+"""The node against the reference model of when a change of the list takes effect (`rig/told.py`)."""
 
 from __future__ import annotations
 
@@ -8,121 +8,135 @@
 
 from thornladder.measures.told import PLANTED, draw, judge
 from thornladder.node.messages import FinalOutcome
-from thornladder.rig.told import Change, Reference, Schedule, Silence, run_schedule
+from thornladder.rig.told import Change, ReferenceModel, Schedule, Silence, run_schedule
 
-LEAVING = tuple(Change(1.6, f"s{number}", "terminating") for number in range(3))
-# The operators' day: all watches fall silent, a quarter drains, and others come before this node's turn.
-DAY = Schedule(5, changes=LEAVING, silent=((1.1, 0),), watch_open_seconds=0.3, callers=((3.4, 1.5),))
-
-
-def test_a_drain_that_a_silent_watch_kept_back_is_known_before_it_binds() -> None:
-    # calm+brink+mass: the call was given up after 6.5 s, and a quarter was pushed to for a second more.
-    world = run_schedule(DAY)
-    assert world.reference.breaches() == [] and world.outcomes[FinalOutcome.NACKED] == 0
-    assert max(map(world.reference.told, range(3))) < 7.1
+DRAINS = tuple(Change(1.6, f"s{number}", "terminating") for number in range(3))
+# All watches fall silent, a quarter of the backends drains, and other callers queue up before this node.
+SILENT_WATCHES = Schedule(
+    5, changes=DRAINS, silent=((1.1, 0),), watch_open_seconds=0.3, callers=((3.4, 1.5),)
+)
 
 
-@pytest.mark.parametrize("pushed", [False, True])
-@pytest.mark.parametrize("grace", [0.5, 1.0])
-def test_a_node_that_is_not_answered_pushes_to_nobody_from_when_it_binds(pushed: bool, grace: float) -> None:
-    # Nobody answers for as long as the play lasts: what the node does not know binds it all the same.
-    world = run_schedule(
-        replace(DAY, list_pushed=pushed, drain_grace=grace, mute_new=((1.1, 99),), duration=12.0)
+def test_a_drain_that_a_silent_watch_missed_is_known_before_it_takes_effect() -> None:
+    # A poll that was only given up after 6.5 s let pushes go to the draining quarter for another second.
+    simulation = run_schedule(SILENT_WATCHES)
+    assert simulation.reference.breaches() == [] and simulation.outcomes[FinalOutcome.NACKED] == 0
+    assert max(map(simulation.reference.effective_at, range(3))) < 7.1
+
+
+@pytest.mark.parametrize("list_pushed", [False, True])
+@pytest.mark.parametrize("drain_grace", [0.5, 1.0])
+def test_a_node_without_answers_stops_pushing_once_its_list_is_stale(
+    list_pushed: bool, drain_grace: float
+) -> None:
+    # No poll is answered until the end: changes that the node does not know of take effect all the same.
+    simulation = run_schedule(
+        replace(
+            SILENT_WATCHES,
+            list_pushed=list_pushed,
+            drain_grace=drain_grace,
+            mute_new=((1.1, 99),),
+            duration=12.0,
+        )
     )
-    pushes = [at for at, _ in world.reference.pushes]
-    assert world.reference.breaches() == [] and world.outcomes[FinalOutcome.NACKED] > 100
-    assert 5.0 < max(pushes) < 1.1 + 6.0 + grace
-    assert "blind: nothing is pushed until the list is answered for" in world.log.lines
+    pushed_at = [at for at, _ in simulation.reference.pushes]
+    assert simulation.reference.breaches() == [] and simulation.outcomes[FinalOutcome.NACKED] > 100
+    assert 5.0 < max(pushed_at) < 1.1 + 6.0 + drain_grace
+    assert "blind: nothing is pushed until the list is answered for" in simulation.log.events
 
 
-def test_a_fleet_of_1024_is_taken_in_and_drained_by_a_quarter_in_a_silence() -> None:
-    # No list of backends under 1,024 is too long, indented or not, nor a node too busy with one to keep up.
-    leaving = tuple(Change(1.6, f"s{number}", "terminating") for number in range(0, 1024, 4))
-    day = replace(
-        DAY, backends=1024, indented_json=True, changes=leaving, duration=9.0, spoilt=((0.0, b"{"),)
+def test_a_list_of_1024_is_read_and_a_quarter_drains_during_a_silence() -> None:
+    # A list of up to 1,024 backends is not too long, indented or not, nor does it keep the node too busy.
+    drains = tuple(Change(1.6, f"s{number}", "terminating") for number in range(0, 1024, 4))
+    schedule = replace(
+        SILENT_WATCHES, backends=1024, indented_json=True, changes=drains, duration=9.0, spoilt=((0.0, b"{"),)
     )
-    world = run_schedule(day)
-    assert world.reference.breaches() == [] and world.outcomes[FinalOutcome.COMPLETED] > 300
-    assert len({to for _, to in world.reference.pushes}) > 100
+    simulation = run_schedule(schedule)
+    assert simulation.reference.breaches() == [] and simulation.outcomes[FinalOutcome.COMPLETED] > 300
+    assert len({backend for _, backend in simulation.reference.pushes}) > 100
 
 
-def test_while_pushed_lists_are_away_nothing_new_is_known_and_service_goes_on() -> None:
+def test_an_outage_of_a_pushed_list_brings_no_changes_and_service_goes_on() -> None:
     drains = tuple(Change(6.1, f"s{number}", "terminating") for number in range(3))
-    world = run_schedule(
+    simulation = run_schedule(
         Schedule(6, list_pushed=True, drain_grace=0.5, changes=drains, away=((1.0, 5.9),), duration=12.0)
     )
-    assert world.reference.breaches() == [] and world.outcomes[FinalOutcome.NACKED] == 0
+    assert simulation.reference.breaches() == [] and simulation.outcomes[FinalOutcome.NACKED] == 0
 
 
-@pytest.mark.parametrize("pushed", [False, True])
+@pytest.mark.parametrize("list_pushed", [False, True])
 @pytest.mark.parametrize("how", ["503", "late 503", "reset", "away"])
-def test_calls_that_fail_in_whatever_way_hold_off_no_change_for_over_six_seconds(how, pushed) -> None:
-    # Lists that were asked for left MustAskIn after a reset, and four times that after each refused call.
-    given = {"away": ((1.0, 11.0),)} if how == "away" else {"refusing": ((1.0, 11.0, how),), "resets": (1.0,)}
-    world = run_schedule(
-        Schedule(6, list_pushed=pushed, drain_grace=0.5, changes=LEAVING, duration=14.0, **given)
+def test_failed_polls_of_any_kind_delay_no_change_for_over_six_seconds(how, list_pushed) -> None:
+    # Without a pushed list, a node used to have MustAskIn after a reset and four times that after each
+    # refused poll.
+    faults = (
+        {"away": ((1.0, 11.0),)} if how == "away" else {"refusing": ((1.0, 11.0, how),), "resets": (1.0,)}
+    )
+    simulation = run_schedule(
+        Schedule(6, list_pushed=list_pushed, drain_grace=0.5, changes=DRAINS, duration=14.0, **faults)
     )
-    pushes = [at for at, _ in world.reference.pushes]
-    assert not any(1.0 + 6.5 < at < 11.0 for at in pushes), "pushed on after six seconds and the grace"
-    # Looked at soon: it serves again within a call that waits and the pause after it, and served until then.
-    assert min(at for at in pushes if at > 11.0) < 11.0 + (2.4 if how == "late 503" else 0.5)
-    if how == "away" or not pushed:
-        assert max(at for at in pushes if at < 11.0) > 1.0 - 0.95 + 6.2  # from the last answered call on
-        assert world.reference.breaches() == [] or how != "away" and pushed
-
-
-def test_a_process_that_starts_without_an_answer_is_held_to_six_seconds_from_its_start() -> None:
-    before = tuple(Change(-1.0, f"s{number}", "terminating") for number in range(3))
-    world = run_schedule(
-        Schedule(7, drain_grace=0.5, changes=before, refusing=((0.0, 10.0, "late 503"),), duration=14.0)
+    pushed_at = [at for at, _ in simulation.reference.pushes]
+    assert not any(1.0 + 6.5 < at < 11.0 for at in pushed_at), "pushed on after six seconds and the grace"
+    # The node serves until the list is stale, and again within the time of one poll and the pause after it.
+    assert min(at for at in pushed_at if at > 11.0) < 11.0 + (2.4 if how == "late 503" else 0.5)
+    if how == "away" or not list_pushed:
+        # Six seconds count from the last answered poll.
+        assert max(at for at in pushed_at if at < 11.0) > 1.0 - 0.95 + 6.2
+        assert simulation.reference.breaches() == [] or how != "away" and list_pushed
+
+
+def test_a_process_that_starts_without_an_answer_has_six_seconds_from_its_start() -> None:
+    drains = tuple(Change(-1.0, f"s{number}", "terminating") for number in range(3))
+    simulation = run_schedule(
+        Schedule(7, drain_grace=0.5, changes=drains, refusing=((0.0, 10.0, "late 503"),), duration=14.0)
     )
-    pushes = [at for at, _ in world.reference.pushes]
-    assert world.reference.breaches() == []
-    assert not any(6.5 < at < 10.0 for at in pushes) and max(at for at in pushes if at < 10.0) > 6.0
-    assert max(pushes) > 13.0
+    pushed_at = [at for at, _ in simulation.reference.pushes]
+    assert simulation.reference.breaches() == []
+    assert not any(6.5 < at < 10.0 for at in pushed_at) and max(at for at in pushed_at if at < 10.0) > 6.0
+    assert max(pushed_at) > 13.0
 
 
 @pytest.mark.parametrize("seed", [*range(24), 28, 121, 149])
-def test_no_push_to_what_counts_as_leaving_in_rows_of_failing_calls(seed: int) -> None:
-    """8, 28, 121, 149: lists are pushed, and a process that starts while discovery is down took a refusal for
-    a sign that nothing had changed before its start either."""
+def test_no_push_to_a_leaving_backend_in_series_of_failed_polls(seed: int) -> None:
+    """8, 28, 121, 149: with a pushed list, a process that started while discovery was down took a refusal as
+    proof that nothing had changed before its start."""
     assert judge(seed, failing=True).first == ""
 
 
-def test_a_refusal_that_passes_for_a_sign_of_life_is_caught() -> None:
+def test_a_refusal_that_counts_as_an_answer_is_detected() -> None:
     assert judge(5, "a refusal is no silence", failing=True).breaches
 
 
 @pytest.mark.parametrize("seed", [*range(30), 81, 188, 272, 374, 450, 456, 565, 569, 689, 1212, 1977])
-def test_no_push_to_what_counts_as_leaving_in_seeded_schedules(seed: int) -> None:
-    """Those past 30 broke texts before this one.
+def test_no_push_to_a_leaving_backend_in_seeded_schedules(seed: int) -> None:
+    """The seeds past 30 are regressions.
 
-    81, 374, 450, 565: a node without its core for a second pushed before it had read what came meanwhile.
-    188, 272: an answer that had been written was cancelled by a move; 689: an old place's ended a silence.
-    1212, 1977: lists are pushed, and odd answers passed for signs that nothing was new.
-    456, 569: lists are pushed, and discovery went away in the moment between two calls.
+    81, 374, 450, 565: a node without CPU for a second pushed before it had read what arrived meanwhile.
+    188, 272: a move cancelled a response that was already written. 689: a response from the old address ended
+    a silence. 1212, 1977: with a pushed list, invalid responses counted as proof that nothing had changed.
+    456, 569: with a pushed list, discovery went down between two polls.
     """
     assert judge(seed).first == ""
 
 
 @pytest.mark.parametrize(
-    "planted, seed",
+    "fault, seed",
     [
         ("patience a second longer", 91), ("looked at on deciding only", 0),
         ("an odd answer is a live watch", 155), ("a silence begins anew with each call", 50),
         ("a move is an answer", 106), ("never blind", 50),
     ],
 )  # fmt: skip
-def test_planted_faults_are_caught(planted: str, seed: int) -> None:
-    assert planted in PLANTED and judge(seed, planted).breaches
+def test_injected_faults_are_detected(fault: str, seed: int) -> None:
+    assert fault in PLANTED and judge(seed, fault).breaches
 
 
-def test_a_schedule_is_the_same_play_each_time() -> None:
+def test_a_schedule_runs_the_same_each_time() -> None:
     assert draw(3) == draw(3) and judge(3) == judge(3)
 
 
 @pytest.mark.parametrize(
-    "pushed, given, told",
+    "list_pushed, record, effective_at",
     [
         (False, {"written": [(3.2, 2)]}, 3.2),
         (False, {"silences": [Silence(2.0, 2.7)], "written": [(9.5, 2)]}, 8.0),
@@ -144,20 +158,20 @@
         (True, {"moves": [2.5]}, 6.5),
     ],
 )
-def test_when_a_change_counts_as_told(pushed: bool, given: dict, told: float) -> None:
-    """A change at 3.0, by the terms alone."""
-    reference = Reference(pushed, 0.5, changes=[Change(3.0, "s1", "terminating")], **given)
-    assert reference.told(0) == pytest.approx(told)
-    reference.pushes = [(told + 0.54, "s1"), (told + 0.56, "s1"), (told + 0.9, "s2")]
-    assert [to for _, to, _ in reference.breaches()] == ["s1"]
-
-
-def test_a_call_that_is_refused_after_its_time_in_the_queue_is_no_silence() -> None:
-    # herd+mass: 204 nodes took 503s, each after two seconds in the service's queue, for a silent watch, and
-    # pushed nothing for four seconds. A watch that was reset leaves six seconds and the grace.
-    day = Schedule(
-        7, changes=LEAVING, resets=(1.1,), watch_open_seconds=0.3, callers=((1.1, 5.4),), duration=10.0
+def test_when_a_change_takes_effect(list_pushed: bool, record: dict, effective_at: float) -> None:
+    """A change at 3.0, by the operators' terms alone."""
+    reference = ReferenceModel(list_pushed, 0.5, changes=[Change(3.0, "s1", "terminating")], **record)
+    assert reference.effective_at(0) == pytest.approx(effective_at)
+    reference.pushes = [(effective_at + 0.54, "s1"), (effective_at + 0.56, "s1"), (effective_at + 0.9, "s2")]
+    assert [backend for _, backend, _ in reference.breaches()] == ["s1"]
+
+
+def test_a_poll_that_is_refused_after_its_time_in_the_queue_is_no_silence() -> None:
+    # 204 nodes took a 503 after two seconds in the service's queue for a silent watch, and pushed nothing for
+    # four seconds. After a reset of the watch, a node has six seconds and the grace.
+    schedule = Schedule(
+        7, changes=DRAINS, resets=(1.1,), watch_open_seconds=0.3, callers=((1.1, 5.4),), duration=10.0
     )
-    world = run_schedule(day)
-    assert len(world.reference.refused) > 1
-    assert world.reference.breaches() == [] and world.outcomes[FinalOutcome.NACKED] == 0
+    simulation = run_schedule(schedule)
+    assert len(simulation.reference.refused) > 1
+    assert simulation.reference.breaches() == [] and simulation.outcomes[FinalOutcome.NACKED] == 0
--- a/thornladder/rig/moments.py
+++ b/thornladder/rig/moments.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock a play moves: nobody waits, and the same seed gives the same play.
+"""A deterministic asyncio event loop in virtual time, and in-memory connections that run on it.
 
-The node's own parts run on it unchanged. All that they talk to is in memory, so that whenever nothing is
-ready the next timer is what happens next.
+Nothing waits for real time, and the same seed gives the same run. The node's own parts run on it unchanged;
+everything they talk to has to be in memory, so that the next timer is due as soon as no callback is ready.
 """
 
 from __future__ import annotations
@@ -13,96 +13,102 @@
 import anyio
 
 
-class _Jump:
-    """Moves the clock where a selector would wait."""
+class _TimeSkippingSelector:
+    """A selector that advances the loop's clock where it would block."""
 
-    def __init__(self, inner: Any, loop: MomentLoop) -> None:
-        self.inner, self.loop = inner, loop
+    def __init__(self, selector: Any, loop: VirtualTimeLoop) -> None:
+        self.selector, self.loop = selector, loop
 
     def select(self, timeout: float | None = None) -> list:
-        ready = self.inner.select(0)
+        ready = self.selector.select(0)
         if not ready:
             if timeout is None:
-                raise RuntimeError("nothing is left to wait for")
-            self.loop.moment += max(timeout, 0.0)
+                raise RuntimeError("deadlock: no callback is ready and no timer is set")
+            self.loop.virtual_now += max(timeout, 0.0)
         return ready
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.inner, name)
+        return getattr(self.selector, name)
 
 
-class MomentLoop(asyncio.SelectorEventLoop):
-    """Its time is `moment`, seconds since the play began; `stall` lets it pass with nothing done."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock is `virtual_now`, seconds since the start of the run."""
 
     def __init__(self) -> None:
-        self.moment = 0.0
+        self.virtual_now = 0.0
         super().__init__()
-        self._selector = _Jump(self._selector, self)
+        self._selector = _TimeSkippingSelector(self._selector, self)
 
     def time(self) -> float:
-        return self.moment
+        return self.virtual_now
 
-    def stall(self, span: float) -> None:
-        """For as many seconds the whole loop does nothing, as a process that gets no core."""
-        self.moment += span
+    def stall(self, seconds: float) -> None:
+        """Lets time pass with no callback run, as in a process that gets no CPU."""
+        self.virtual_now += seconds
 
 
-def play(main: Callable[[], Awaitable[Any]]) -> Any:
-    """Runs `main` on a clock of its own and returns what it returns."""
-    return anyio.run(main, backend="asyncio", backend_options={"loop_factory": MomentLoop})
+def run(main: Callable[[], Awaitable[Any]]) -> Any:
+    """Runs `main` on a new loop in virtual time and returns its result.
+
+    Raises RuntimeError on a deadlock, that is when nothing is ready and no timer is set.
+    """
+    return anyio.run(main, backend="asyncio", backend_options={"loop_factory": VirtualTimeLoop})
 
 
 class Peer:
-    """The far side of a connection in memory."""
+    """The far side of an in-memory connection."""
+
+    def data_received(self, data: bytes) -> None:
+        """Called with the bytes of each write of the near side."""
 
-    def came(self, data: bytes) -> None:
-        """Bytes that the near side wrote."""
+    def connection_closed(self) -> None:
+        """Called when the near side closes the connection."""
 
-    def left(self) -> None:
-        """The near side ended it."""
 
+class MemoryStream:
+    """The near side of an in-memory connection, with the interface that `http1.UpstreamConnection` needs.
 
-class Wire:
-    """The near side of a connection in memory, in the form that `http1.UpstreamConnection` takes."""
+    `send` and `receive` raise anyio's errors, as on a socket, once either side has ended the connection.
+    """
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
-        self.parts: list[bytes] = []
-        self.ended = self.closed = False
-        self.more = anyio.Event()
+        self.chunks: list[bytes] = []
+        self.reset_by_peer = self.closed = False
+        self.changed = anyio.Event()
 
     def feed(self, data: bytes) -> None:
-        """The far side writes."""
-        self.parts.append(data)
+        """Delivers bytes that the far side writes."""
+        self.chunks.append(data)
         self._wake()
 
-    def end(self) -> None:
-        """The far side resets it."""
-        self.ended = True
+    def reset(self) -> None:
+        """Resets the connection from the far side."""
+        self.reset_by_peer = True
         self._wake()
 
     def _wake(self) -> None:
-        self.more.set()
-        self.more = anyio.Event()
+        self.changed.set()
+        self.changed = anyio.Event()
 
     async def send(self, data: bytes) -> None:
-        if self.ended or self.closed:
+        if self.reset_by_peer or self.closed:
             raise anyio.BrokenResourceError
-        self.peer.came(bytes(data))
+        self.peer.data_received(bytes(data))
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        while not self.parts:
-            if self.ended or self.closed:
+        while not self.chunks:
+            if self.reset_by_peer or self.closed:
                 raise anyio.EndOfStream
-            await self.more.wait()
-        return self.parts.pop(0)
+            await self.changed.wait()
+        return self.chunks.pop(0)
 
     async def aclose(self) -> None:
         if not self.closed:
             self.closed = True
-            self.peer.left()
+            self.peer.connection_closed()
 
-    def extra(self, _: object) -> Wire:
+    def extra(self, _: object) -> MemoryStream:
         return self
 
     def fileno(self) -> int:
