--- a/thornladder/rollout/core.py
+++ b/thornladder/rollout/core.py
@@ -57,6 +57,7 @@
 
     @property
     def is_serving(self) -> bool:
+        """Whether the node serves with a variant of its document."""
         return self.running >= 0
 
 
@@ -121,6 +122,7 @@
 
     @property
     def finished(self) -> bool:
+        """Whether the driver process has nothing more to do."""
         return self.phase in FINAL_PHASES
 
     @property
@@ -143,6 +145,7 @@
         return [] if self.finished or self.document is None else self._stop(message)
 
     def roll_back(self) -> list[Action]:
+        """Starts a rollback, also of a change that is done or on hold."""
         if self.document is None or self.phase in (Phase.SUPERSEDED, Phase.REFUSED, Phase.ROLLED_BACK):
             return []
         return self._start_rollback("a person has it undone")
@@ -193,6 +196,7 @@
         return actions + self._observe_stage(now)
 
     def _superseded_reason(self, reports: Mapping[str, NodeReport]) -> str:
+        """Which node knows of a newer change; empty if none does."""
         for name, report in sorted(reports.items()):
             number = max(report.claim.number, report.document.number if report.document else 0)
             if self.claim is not None and number > self.claim.number:
@@ -265,6 +269,7 @@
         return ""
 
     def _observe_baseline(self, now: float, reports: Mapping[str, NodeReport]) -> list[Action]:
+        """Feeds the judge with unchanged nodes, then starts the first stage."""
         self.judge.add_baseline(_current_counters(reports))
         if now - self.phase_started_at < self.plan.before:
             return []
--- a/thornladder/rollout/counters.py
+++ b/thornladder/rollout/counters.py
@@ -85,6 +85,7 @@
         return CountingHandler(handler, self), counting_shed_policy
 
     def start(self, context: NodeContext) -> None:
+        """Takes the node's name and settings; called before the node serves."""
         self.name, self.settings = context.name, context.settings
         self._settings_and_digest = (None, "")
         self._refresh_settings()
@@ -100,6 +101,7 @@
         """Discards the counters: the next process starts from zero."""
 
     def tenant_row(self, name: str) -> list[int]:
+        """The row of a tenant; beyond MAX_TENANTS, the row shared by all others."""
         row = self.tenants.get(name)
         if row is None:
             key = name if len(self.tenants) < MAX_TENANTS else OTHER_TENANTS
@@ -107,12 +109,14 @@
         return row
 
     def record_latency(self, offering: str, seconds: float) -> None:
+        """Adds the latency of a completed invocation to the histogram, clamped to its range."""
         histogram = self.latencies.get(offering)
         if histogram is None:
             histogram = self.latencies[offering] = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         histogram.record_value(min(max(int(seconds * 1e6), 1), MAX_LATENCY_US))
 
     def snapshot(self, call: AdminRequest) -> AdminResponse:
+        """Response to `GET /counters`, with at most 200 offerings."""
         self._refresh_settings()
         offerings = {
             name: {"counts": list(row), "times": _buckets(self.latencies.get(name))}
--- a/thornladder/rollout/explore.py
+++ b/thornladder/rollout/explore.py
@@ -24,6 +24,7 @@
 
 
 def make_plan(name: str) -> Plan:
+    """A plan without observation times, so that only the protocol decides what happens."""
     nodes = {node: f"10.0.0.{k + 1}:1" for k, node in enumerate(NODES)}
     return Plan(change=Change(name=name, settings={"v": name}), nodes=nodes, stages=(1, 1.0), before=0.0,
                 watch=0.0, least=0, least_each=0, see=0.6, out=2, over_stopped=True)  # fmt: skip
@@ -74,6 +75,7 @@
 
 
 def initial_state(driver_class: type[Driver]) -> State:
+    """Both drivers are about to start, and no node has a document."""
     state = State()
     for name in DRIVERS:
         state.drivers[name] = driver_class(
@@ -83,6 +85,7 @@
 
 
 def possible_steps(state: State) -> list[str]:
+    """The steps that `apply_step` understands and that can happen next."""
     steps = [f"{verb} {k}" for k in range(len(state.in_flight)) for verb in ("deliver", "lose")]
     for name, driver in state.drivers.items():
         if state.pending_actions[name]:
--- a/thornladder/rollout/judge.py
+++ b/thornladder/rollout/judge.py
@@ -51,6 +51,7 @@
         self.components = [1.0] * len(BET_FRACTIONS)
 
     def observe(self, value: float) -> None:
+        """Adds one observation."""
         value = min(max(value, -1.0), 1.0)
         self.components = [
             component * (1.0 + fraction * value)
@@ -69,6 +70,7 @@
         self.components = [1.0] * len(ODDS_RATIO_MULTIPLES)
 
     def observe(self, window: ComparisonWindow, tolerated_odds_ratio: float) -> None:
+        """Adds one window; ignores it if a side has no invocations, or if none or all of them are hits."""
         old, new = (round(count) for count in window.counts)
         hits = [round(hit) for hit in window.hits]
         total_hits = sum(hits)
@@ -123,6 +125,7 @@
         self.seconds = [1e-9, 1e-9]  # old, new
 
     def observe(self, side: int) -> None:
+        """Adds one crash: side 0 is old, 1 is new."""
         # Without the lower bound, a single chance crash right after a change would stop it, as new nodes have
         # run for only a few seconds by then.
         new_share = min(max(self.seconds[1] / sum(self.seconds), MIN_NEW_TIME_SHARE), BAD_CHANGE_CRASH_SHARE)
@@ -145,6 +148,7 @@
 
 
 def counter_totals(counters: Mapping[str, Any]) -> CounterTotals:
+    """Extracts the totals from a response of `GET /counters`."""
     rows = counters["offerings"]
     return CounterTotals(
         {name: row["counts"] for name, row in rows.items()}, counters["tenants"],
@@ -161,6 +165,7 @@
 
 
 def difference(new: CounterTotals, old: CounterTotals) -> CounterTotals:
+    """Increase from `old` to `new`; keys missing in `old` count as 0."""
     latencies = {name: {bound: count - old.latencies.get(name, {}).get(bound, 0)
                         for bound, count in row.items()}
                  for name, row in new.latencies.items()}  # fmt: skip
@@ -184,6 +189,7 @@
         self.baseline_hits[side] += count * baseline_share
 
     def share_difference(self) -> float:
+        """Share of hits at new nodes minus that at old nodes."""
         return self.hits[1] / self.counts[1] - self.hits[0] / self.counts[0]
 
     def tolerated_odds_ratio(self, tolerance: float) -> float:
@@ -296,6 +302,7 @@
         self.tests["memory"], self.tests["core"] = BoundedMeanTest(), BoundedMeanTest()
 
     def start_stage(self) -> None:
+        """Resets the invocation counts of the stage; the tests keep their evidence."""
         self.stage_invocations, self.stage_invocations_by_offering = [0, 0], {}
 
     def undersampled_offerings(self, min_invocations: int) -> list[str]:
@@ -357,6 +364,7 @@
             self._compare_resources()
 
     def finding(self) -> Finding:
+        """Combines the evidence of all tests."""
         weights = self._weights()
         e_values = {
             **{key: test.e_value for key, test in self.tests.items()},
@@ -378,6 +386,7 @@
     # Internals.
 
     def _weights(self) -> dict[str, float]:
+        """Weight of each metric; they add up to at most 1."""
         others = [key for key in self.tests if key not in METRIC_WEIGHTS]
         equal_share = (1.0 - sum(METRIC_WEIGHTS.values())) / max(len(others), 1)
         return {**METRIC_WEIGHTS, **dict.fromkeys(others, equal_share)}
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -45,10 +45,10 @@
 )
 
 PEER_POLL_SECONDS = 2.0  # between polls of one peer each; a node that was away catches up within 10 s
-STARTUP_POLL_TIMEOUT_SECONDS = 3.0  # for the peers to answer before the node is started
+STARTUP_POLL_TIMEOUT_SECONDS = 3.0  # for peers to answer; then the node starts with the stored document
 CHECK_INTERVAL_SECONDS = 0.5  # between checks of the node
-RELOAD_TIMEOUT_SECONDS = 5.0  # for a running node to apply new settings
-REQUEST_TIMEOUT_SECONDS = 1.0
+RELOAD_TIMEOUT_SECONDS = 5.0  # for a running node to apply new settings, which it reads from a file
+REQUEST_TIMEOUT_SECONDS = 1.0  # for the node on the same machine, and for peers
 RESTART_BACKOFF_SECONDS = (0.5, 10.0)  # after an unexpected exit: initial delay, which doubles, and maximum
 BACKOFF_RESET_SECONDS = 30.0  # of uptime that reset the delay
 DEFAULT_NODE_COMMAND = (sys.executable, "-B", "-m", "thornladder.cli", "node", "--counters")
@@ -143,12 +143,14 @@
 
     @property
     def assigned_variant(self) -> Variant:
+        """The variant that the document assigns to this node, or the one in the keeper's file."""
         document = self.acceptor.document
         if document is None:
             return KEEPER_FILE_VARIANT
         return document.variants[document.lines.get(self.config.name, 0)]
 
     def report(self) -> NodeReport:
+        """The state that drivers and other keepers see."""
         document, process = self.acceptor.document, self.process
         running = -1
         if process is not None and not process.exited and self.counters is not None:
@@ -171,6 +173,7 @@
         return error_response(404, "no such call")
 
     def admin_endpoints(self) -> dict[str, ExtensionEndpoint]:
+        """The HTTP endpoints by path."""
         return {"/state": ExtensionEndpoint(b"GET", self._get_state),
                 "/claim": ExtensionEndpoint(b"POST", self._post_claim),
                 "/order": ExtensionEndpoint(b"POST", self._post_document)}  # fmt: skip
@@ -417,6 +420,7 @@
             self.state_changed.set()
 
     async def _fetch(self, address: str, path: str) -> dict[str, Any] | None:
+        """JSON response to a GET, or None on any error."""
         try:
             return await anyio.to_thread.run_sync(
                 fetch, address, path, REQUEST_TIMEOUT_SECONDS, abandon_on_cancel=True
--- a/thornladder/rollout/store.py
+++ b/thornladder/rollout/store.py
@@ -65,6 +65,7 @@
         self.connection.execute("insert into wishes (word) values (?)", (word,))
 
     def pending_requests(self) -> list[str]:
+        """Requests that no driver has handled yet, oldest first."""
         rows = self.connection.execute("select word from wishes where done = 0 order by number").fetchall()
         return [word for (word,) in rows]
 
--- a/thornladder/rollout/virtual.py
+++ b/thornladder/rollout/virtual.py
@@ -70,8 +70,8 @@
 class Incident(NamedTuple):
     """A fault that hits old and new nodes alike, scaled by each node's sensitivity."""
 
-    at: float
-    duration: float
+    at: float  # seconds
+    duration: float  # seconds
     extra_nack_share: float
     latency_factor: float
 
@@ -163,6 +163,7 @@
                 )
 
     def _advance_change(self, node: SimulatedNode) -> None:
+        """Brings the node to its assigned variant after CHANGE_SECONDS, unless the regression prevents it."""
         document = node.acceptor.document
         assigned = document.lines.get(node.name, 0) if document else 0
         if assigned == node.running or (node.refused and assigned > 0):
@@ -237,6 +238,7 @@
                 "memory": node.memory_bytes}  # fmt: skip
 
     def carry_out(self, actions: Sequence[Action], log: list[Record]) -> None:
+        """Appends records to `log` and delivers messages to reachable nodes."""
         for action in actions:
             if isinstance(action, WriteRecord):
                 log.append(action.record)
@@ -295,6 +297,7 @@
 
 
 def make_plan(size: int, **options: Any) -> Plan:
+    """A plan for a fleet of this size; `options` are fields of Plan."""
     nodes = {f"n{number:03}": f"10.0.{number // 250}.{number % 250 + 1}:1" for number in range(size)}
     return Plan(change=Change(name="new", settings={"a": 1}), nodes=nodes, **options)
 
