--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -147,7 +147,7 @@
     )
     world.members["new"].core = None
     world.members["new"].address = world.members["n01"].address
-    world.call_at(5.6, world.by_address.__setitem__, world.members["n01"].address, world.members["new"])
+    world.schedule(5.6, world.by_address.__setitem__, world.members["n01"].address, world.members["new"])
     world.run(15.0)
     assert "n01" not in world.members["n00"].core.members
 
--- a/thornladder/rig/virtual.py
+++ b/thornladder/rig/virtual.py
@@ -1,6 +1,7 @@
-"""Members in virtual time: the cores unchanged, on one heap of events, with the faults of the rig.
+"""Simulation of membership in virtual time: unmodified cores and the rig's faults on one queue of events.
 
-The accountant here knows the true state and nothing of the cores' reasons. The same seed gives the same play.
+The simulation knows which members really run and sees nothing of the cores' reasons. The same seed gives the
+same run.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 from thornladder.membership.wire import Message, decode, encode
 from thornladder.rig.faults import Fault, Move, Process, Weather, moves
 
-HEAD = 28  # bytes of UDP and IP round each datagram
-CONNECTION = 240  # bytes of a connection made and ended, about
-PATIENCE = 0.5  # seconds that a check waits for its answer
-LONGEST = 3.0  # seconds that a whole view may take
+DATAGRAM_HEADER_BYTES = 28  # UDP and IP
+CONNECTION_OVERHEAD_BYTES = 240  # TCP segments that open and close a connection, approximately
+PROBE_TIMEOUT_SECONDS = 0.5  # of a connection probe
+SYNC_TIMEOUT_SECONDS = 3.0  # of an exchange of whole views
 
 
-class Member(Protocol):
-    """What the harness needs of a core, ours or a baseline."""
+class MemberCore(Protocol):
+    """What the simulation needs of a membership core: ours or a baseline."""
 
     actions: list[Action]
 
@@ -39,7 +40,7 @@
 
 
 class MemberChange(NamedTuple):
-    """A change that one member took in."""
+    """A change of the state that `observer` holds `subject` to have."""
 
     at: float
     observer: str
@@ -48,215 +49,245 @@
     view_changed: bool
 
 
-class Place(Process):
-    """One name, and what its process has cost."""
+class SimulatedMember(Process):
+    """A member by its name, over all processes that run under it, and what they have cost."""
 
     def __init__(self, name: str, address: str) -> None:
         super().__init__()
         self.name, self.address = name, address
-        self.starts = 0
-        self.wakes = 0  # tells the wake-up that is due from those it took the place of
+        self.start_count = 0
+        self.wake_number = 0  # of the pending wake-up; one with a lower number was superseded
         self.bytes_sent = self.messages_sent = 0
         self.cpu_seconds = 0.0
 
 
-Maker = Callable[[str, str, Sequence[str], Random, float], Any]
+CoreFactory = Callable[[str, str, Sequence[str], Random, float], Any]
 
 
-def ours(name: str, address: str, seeds: Sequence[str], chance: Random, now: float) -> Core:
-    return Core(name, address, "fleet", seeds, chance, now)
+def ours(name: str, address: str, seeds: Sequence[str], rng: Random, now: float) -> Core:
+    """The `CoreFactory` of the real core."""
+    return Core(name, address, "fleet", seeds, rng, now)
 
 
 class Simulation:
-    MOST_WAITING = 2000  # datagrams that the kernel keeps for a stopped process
+    """Members on a network with faults. All times are in seconds of virtual time."""
+
+    SOCKET_BUFFER_DATAGRAMS = 2000  # that the kernel keeps for a stopped process
 
     def __init__(
-        self, names: Sequence[str], faults: Sequence[Fault], seed: int, make: Maker = ours,
+        self, names: Sequence[str], faults: Sequence[Fault], seed: int, make: CoreFactory = ours,
         seeds: int = 3, joined: bool = True, skew: dict[str, float] | None = None,
     ) -> None:  # fmt: skip
-        """`joined`: all know all at the start. `skew`: by how much each one's clock is off, seconds."""
-        self.chance = Random(seed)
+        """Starts all members.
+
+        `make` creates the core of a process. `seeds`: how many members are seeds. `joined`: all members know
+        each other from the start. `skew`: by how many seconds a member's clock is ahead, by its name.
+        """
+        self.rng = Random(seed)
         self.now = 0.0
         self.make, self.skew = make, skew or {}
-        self.weather = Weather(faults)
-        self.members = {name: Place(name, f"10.0.{k // 250}.{k % 250}:7946") for k, name in enumerate(names)}
-        self.by_address = {place.address: place for place in self.members.values()}
-        self.seeds = [place.address for place in self.members.values()][:seeds]
-        self.heap: list[tuple[float, int, Callable[..., None], tuple]] = []
-        self.count = itertools.count()
-        self.changes: list[MemberChange] = []
-        self.step_hooks: list[Callable[[Simulation, Place], None]] = []
+        self.network = Weather(faults)
+        self.members = {
+            name: SimulatedMember(name, f"10.0.{k // 250}.{k % 250}:7946") for k, name in enumerate(names)
+        }
+        self.by_address = {member.address: member for member in self.members.values()}
+        self.seeds = [member.address for member in self.members.values()][:seeds]
+        self.events: list[tuple[float, int, Callable[..., None], tuple]] = []
+        self.event_numbers = itertools.count()
+        self.changes: list[MemberChange] = []  # of all members, in order of time
+        self.step_hooks: list[Callable[[Simulation, SimulatedMember], None]] = []  # called after each step
         for name in names:
             self.start(name)
         if joined:
             self.introduce()
-        for move in moves(faults, self.chance):
-            self.call_at(move.at, self._move, move)
+        for move in moves(faults, self.rng):
+            self.schedule(move.at, self._apply_move, move)
 
     def introduce(self) -> None:
-        """Every member holds the whole view, as after a long quiet time."""
-        items = [place.core.own_item for place in self.members.values()]
-        for place in self.members.values():
-            place.core.bootstrap(items)
-            place.core.take_changes()
+        """Gives every member the whole view, as after a long time without changes."""
+        items = [member.core.own_item for member in self.members.values()]
+        for member in self.members.values():
+            member.core.bootstrap(items)
+            member.core.take_changes()
 
     # Events.
 
-    def call_at(self, when: float, what: Callable[..., None], *given: Any) -> None:
-        heapq.heappush(self.heap, (when, next(self.count), what, given))
+    def schedule(self, at: float, callback: Callable[..., None], *args: Any) -> None:
+        """Calls `callback` at the time `at`."""
+        heapq.heappush(self.events, (at, next(self.event_numbers), callback, args))
 
     def run(self, until: float) -> None:
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, what, given = heapq.heappop(self.heap)
-            what(*given)
+        """Runs the events up to the time `until`."""
+        while self.events and self.events[0][0] <= until:
+            self.now, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
         self.now = until
 
-    def _clock(self, place: Place) -> float:
-        return self.now + self.skew.get(place.name, 0.0)
+    def _local_time(self, member: SimulatedMember) -> float:
+        return self.now + self.skew.get(member.name, 0.0)
 
     def start(self, name: str) -> None:
-        place = self.members[name]
-        if place.core is not None:
+        """Starts a process of the member unless one runs."""
+        member = self.members[name]
+        if member.core is not None:
             return
-        place.starts += 1
-        chance = Random(f"{name} {place.starts} {self.chance.random()}")
-        place.core = self.make(name, place.address, self.seeds, chance, self._clock(place))
-        place.stopped, place.waiting = False, []
-        self._wake_later(place)
-
-    def _wake_later(self, place: Place) -> None:
-        due = place.core.next_wake_at - self.skew.get(place.name, 0.0)
-        place.wakes += 1
-        self.call_at(max(due, self.now), self._wake, place, place.core, place.wakes)
-
-    def _wake(self, place: Place, core: Any, number: int) -> None:
-        # Guards against wake-ups that multiply: one that came in its place has the higher number.
-        if place.core is not core or number != place.wakes:
+        member.start_count += 1
+        rng = Random(f"{name} {member.start_count} {self.rng.random()}")
+        member.core = self.make(name, member.address, self.seeds, rng, self._local_time(member))
+        member.stopped, member.waiting = False, []
+        self._schedule_wake(member)
+
+    def _schedule_wake(self, member: SimulatedMember) -> None:
+        wake_at = member.core.next_wake_at - self.skew.get(member.name, 0.0)
+        member.wake_number += 1
+        self.schedule(max(wake_at, self.now), self._wake, member, member.core, member.wake_number)
+
+    def _wake(self, member: SimulatedMember, core: Any, number: int) -> None:
+        # A superseded wake-up must not schedule another one, or wake-ups would multiply.
+        if member.core is not core or number != member.wake_number:
             return
-        if place.stopped:
-            place.waiting.append((self._wake, (place, core, number)))
+        if member.stopped:
+            member.waiting.append((self._wake, (member, core, number)))
             return
-        if core.next_wake_at - self.skew.get(place.name, 0.0) <= self.now + 1e-9:
-            self._step(place, core.wake, self._clock(place))
-        self._wake_later(place)
-
-    def _step(self, place: Place, what: Callable[..., None], *given: Any) -> None:
-        began = time.perf_counter()
-        what(*given)
-        place.cpu_seconds += time.perf_counter() - began
-        core = place.core
-        for act in core.take_actions():
-            self._act(place, act)
+        if core.next_wake_at - self.skew.get(member.name, 0.0) <= self.now + 1e-9:
+            self._step(member, core.wake, self._local_time(member))
+        self._schedule_wake(member)
+
+    def _step(self, member: SimulatedMember, callback: Callable[..., None], *args: Any) -> None:
+        """Calls into the member's core, and carries out the actions and records the changes that result."""
+        started_at = time.perf_counter()
+        callback(*args)
+        member.cpu_seconds += time.perf_counter() - started_at
+        core = member.core
+        for action in core.take_actions():
+            self._perform_action(member, action)
         for change in core.take_changes():
             self.changes.append(
-                MemberChange(self.now, place.name, change.name, change.state, change.view_changed)
+                MemberChange(self.now, member.name, change.name, change.state, change.view_changed)
             )
-        for check in self.step_hooks:
-            check(self, place)
+        for hook in self.step_hooks:
+            hook(self, member)
 
-    def _arrive(self, place: Place, source: str, data: bytes, by_connection: bool = False) -> None:
-        if place.core is None:
+    def _deliver(
+        self, member: SimulatedMember, source: str, data: bytes, by_connection: bool = False
+    ) -> None:
+        if member.core is None:
             return
-        if place.stopped:
-            if len(place.waiting) < self.MOST_WAITING:
-                place.waiting.append((self._arrive, (place, source, data, by_connection)))
+        if member.stopped:
+            if len(member.waiting) < self.SOCKET_BUFFER_DATAGRAMS:
+                member.waiting.append((self._deliver, (member, source, data, by_connection)))
             return
         message = decode(data)
         if message is not None:
-            due = place.core.next_wake_at
-            self._step(place, place.core.on_message, self._clock(place), source, message, by_connection)
-            if place.core.next_wake_at < due - 1e-9:
-                self._wake_later(place)
-
-    # What members do.
-
-    def _act(self, place: Place, act: Action) -> None:
-        target = self.by_address.get(act.address)
-        if isinstance(act, Send):
-            data = encode(act.message)
-            place.bytes_sent += len(data) + HEAD
-            place.messages_sent += 1
+            wake_at = member.core.next_wake_at
+            self._step(
+                member, member.core.on_message, self._local_time(member), source, message, by_connection
+            )
+            if member.core.next_wake_at < wake_at - 1e-9:
+                self._schedule_wake(member)
+
+    # Actions of members.
+
+    def _perform_action(self, member: SimulatedMember, action: Action) -> None:
+        target = self.by_address.get(action.address)
+        if isinstance(action, Send):
+            data = encode(action.message)
+            member.bytes_sent += len(data) + DATAGRAM_HEADER_BYTES
+            member.messages_sent += 1
             if target is not None:
-                self._send(place, target, data)
-        elif isinstance(act, ConnectionProbe):
-            self._check(place, target, act)
-        elif isinstance(act, Sync) and target is not None:
-            self._sync(place, target)
-
-    def _send(self, place: Place, target: Place, data: bytes) -> None:
-        for later in self.weather.passes(self.now, place.name, target.name, len(data), self.chance):
-            self.call_at(self.now + later, self._arrive, target, place.address, data)
-
-    def _there_and_back(self, a: Place, b: Place, size: int) -> float | None:
-        there = self.weather.carries(self.now, a.name, b.name, size, self.chance)
-        back = self.weather.carries(self.now, b.name, a.name, size, self.chance)
-        return None if there is None or back is None else there + back
-
-    def _check(self, place: Place, target: Place | None, act: ConnectionProbe) -> None:
-        place.bytes_sent += CONNECTION
-        number = act.message.number
-        round_trip = self._there_and_back(place, target, 100) if target else None
-        if round_trip is None or round_trip > PATIENCE:
+                self._send(member, target, data)
+        elif isinstance(action, ConnectionProbe):
+            self._probe(member, target, action)
+        elif isinstance(action, Sync) and target is not None:
+            self._sync(member, target)
+
+    def _send(self, member: SimulatedMember, target: SimulatedMember, data: bytes) -> None:
+        for delay in self.network.passes(self.now, member.name, target.name, len(data), self.rng):
+            self.schedule(self.now + delay, self._deliver, target, member.address, data)
+
+    def _round_trip_time(self, a: SimulatedMember, b: SimulatedMember, size: int) -> float | None:
+        """Seconds to b and back over a connection; None if either direction is cut."""
+        outbound = self.network.carries(self.now, a.name, b.name, size, self.rng)
+        inbound = self.network.carries(self.now, b.name, a.name, size, self.rng)
+        return None if outbound is None or inbound is None else outbound + inbound
+
+    def _probe(
+        self, member: SimulatedMember, target: SimulatedMember | None, action: ConnectionProbe
+    ) -> None:
+        member.bytes_sent += CONNECTION_OVERHEAD_BYTES
+        number = action.message.number
+        round_trip_time = self._round_trip_time(member, target, 100) if target else None
+        if round_trip_time is None or round_trip_time > PROBE_TIMEOUT_SECONDS:
             return
         if target.core is None:
-            self.call_at(self.now + round_trip, self._checked, place, place.core, number)
+            self.schedule(self.now + round_trip_time, self._on_probe_refused, member, member.core, number)
         elif not target.stopped:
-            answer = encode(target.core.reply_to(act.message))
-            self.call_at(self.now + round_trip, self._arrive, place, target.address, answer, True)
+            reply = encode(target.core.reply_to(action.message))
+            self.schedule(self.now + round_trip_time, self._deliver, member, target.address, reply, True)
 
-    def _checked(self, place: Place, core: Any, number: int) -> None:
-        if place.core is core and not place.stopped:
+    def _on_probe_refused(self, member: SimulatedMember, core: Any, number: int) -> None:
+        if member.core is core and not member.stopped:
             self._step(
-                place, core.on_connection_outcome, self._clock(place), number, ConnectionOutcome.REFUSED
+                member,
+                core.on_connection_outcome,
+                self._local_time(member),
+                number,
+                ConnectionOutcome.REFUSED,
             )
 
-    def _sync(self, place: Place, target: Place) -> None:
-        view = place.core.view_message()
+    def _sync(self, member: SimulatedMember, target: SimulatedMember) -> None:
+        view = member.core.view_message()
         data = encode(view)
-        round_trip = self._there_and_back(place, target, min(len(data), 1400))
-        if round_trip is None or round_trip > LONGEST or target.core is None or target.stopped:
+        round_trip_time = self._round_trip_time(member, target, min(len(data), 1400))
+        if (
+            round_trip_time is None
+            or round_trip_time > SYNC_TIMEOUT_SECONDS
+            or target.core is None
+            or target.stopped
+        ):
             return
-        back = encode(target.core.reply_to(view))
-        place.bytes_sent += len(data) + CONNECTION
-        target.bytes_sent += len(back) + CONNECTION
-        self.call_at(self.now + round_trip / 2.0, self._arrive, target, place.address, data, True)
-        self.call_at(self.now + round_trip, self._arrive, place, target.address, back, True)
+        reply = encode(target.core.reply_to(view))
+        member.bytes_sent += len(data) + CONNECTION_OVERHEAD_BYTES
+        target.bytes_sent += len(reply) + CONNECTION_OVERHEAD_BYTES
+        self.schedule(self.now + round_trip_time / 2.0, self._deliver, target, member.address, data, True)
+        self.schedule(self.now + round_trip_time, self._deliver, member, target.address, reply, True)
 
-    # What is done to them.
+    # Faults of processes.
 
-    def _move(self, move: Move) -> None:
-        place = self.members[move.node]
+    def _apply_move(self, move: Move) -> None:
+        member = self.members[move.node]
         if move.what == "start":
             self.start(move.node)
-        elif place.core is None:
+        elif member.core is None:
             return
         elif move.what == "stop":
-            place.stopped = True
-        elif move.what == "go" and place.stopped:
-            place.go()
+            member.stopped = True
+        elif move.what == "go" and member.stopped:
+            member.go()
         elif move.what in ("kill", "end"):
-            if move.what == "end" and not place.stopped:
-                place.core.leave(self._clock(place))
-                for act in place.core.take_actions():
-                    self._act(place, act)
-            place.end()
+            if move.what == "end" and not member.stopped:
+                member.core.leave(self._local_time(member))
+                for action in member.core.take_actions():
+                    self._perform_action(member, action)
+            member.end()
 
-    # What is true.
+    # The true state.
 
     @property
     def running(self) -> list[str]:
-        return sorted(name for name, place in self.members.items() if place.core is not None)
+        """Names of the members that run, in order."""
+        return sorted(name for name, member in self.members.items() if member.core is not None)
 
     def has_converged(self, names: Iterable[str] | None = None) -> bool:
-        """Every running member holds exactly the running ones to be there."""
-        wanted = self.running if names is None else sorted(names)
-        return all(self.members[name].core.members == wanted for name in wanted)
+        """Whether every member of `names` holds exactly these to be alive; all running ones by default."""
+        expected = self.running if names is None else sorted(names)
+        return all(self.members[name].core.members == expected for name in expected)
 
     def run_until_converged(self, limit: float, step: float = 0.1) -> float:
-        """Seconds until all have one view and it is the true one; inf where that takes over `limit`."""
-        began = self.now
+        """Runs until all views are the true one; returns the seconds taken, infinity past `limit`."""
+        started_at = self.now
         while not self.has_converged():
-            if self.now - began >= limit:
+            if self.now - started_at >= limit:
                 return math.inf
             self.run(self.now + step)
-        return self.now - began
+        return self.now - started_at
