--- a/thornladder/asking.py
+++ b/thornladder/asking.py
@@ -1,4 +1,4 @@
-"""Asks a node or a keeper at its second address; blocks until it answers."""
+"""Blocking HTTP client for the admin address of a node or a rollout keeper."""
 
 from __future__ import annotations
 
@@ -8,17 +8,20 @@
 from typing import Any
 
 
-def call(address: str, path: str, patience: float, body: bytes | None = None) -> bytes:
-    """GET, or POST where there is a body. Raises OSError, for an answer that is no yes too."""
-    asked = urllib.request.Request(f"http://{address}{path}", data=body)
+def call(address: str, path: str, timeout_seconds: float, body: bytes | None = None) -> bytes:
+    """Sends a GET request, or a POST request if there is a body, and returns the response body.
+
+    Raises OSError if the request fails or the response has an error status.
+    """
+    request = urllib.request.Request(f"http://{address}{path}", data=body)
     try:
-        with urllib.request.urlopen(asked, timeout=patience) as answer:
-            return answer.read()
+        with urllib.request.urlopen(request, timeout=timeout_seconds) as response:
+            return response.read()
     except urllib.error.HTTPError as error:
-        words = error.read(200).decode("utf-8", "replace").strip()
-        raise OSError(f"{error.code}: {words}") from None
+        message = error.read(200).decode("utf-8", "replace").strip()
+        raise OSError(f"{error.code}: {message}") from None
 
 
-def fetch(address: str, path: str, patience: float = 3.0) -> dict[str, Any]:
-    """The answer, JSON. Raises OSError, or ValueError where it is none."""
-    return json.loads(call(address, path, patience))
+def fetch(address: str, path: str, timeout_seconds: float = 3.0) -> dict[str, Any]:
+    """Returns the JSON response of a GET request. Raises OSError as `call` does, ValueError if invalid."""
+    return json.loads(call(address, path, timeout_seconds))
--- a/thornladder/children.py
+++ b/thornladder/children.py
@@ -1,4 +1,4 @@
-"""Processes that this one starts, and what becomes of them when it dies."""
+"""Child processes that do not outlive their parent."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 PR_SET_PDEATHSIG = 1
 
 
-def ended_with_us(number: int) -> Callable[[], None]:
-    """For `preexec_fn`: the child gets this signal when the thread that started it ends, however it does."""
+def signal_on_parent_exit(signal_number: int) -> Callable[[], None]:
+    """Returns a `preexec_fn` by which the kernel signals the child once the thread that started it ends."""
 
-    def ask() -> None:
-        _libc.prctl(PR_SET_PDEATHSIG, number)
+    def set_parent_death_signal() -> None:
+        _libc.prctl(PR_SET_PDEATHSIG, signal_number)
 
-    return ask
+    return set_parent_death_signal
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -24,7 +24,7 @@
 
 from thornladder import toml
 from thornladder.asking import fetch
-from thornladder.children import ended_with_us
+from thornladder.children import signal_on_parent_exit
 from thornladder.fields import MalformedError
 from thornladder.rig.clients import Clients
 from thornladder.rig.faults import Fault, Weather, check, moves
@@ -505,7 +505,9 @@
     def _start(self, file: Path) -> subprocess.Popen:
         command = [sys.executable, "-B", "-m", "thornladder.cli", "rollout", "start", str(file)]
         with file.with_suffix(".log").open("ab") as log:
-            return subprocess.Popen(command, stdout=log, stderr=log, preexec_fn=ended_with_us(signal.SIGKILL))
+            return subprocess.Popen(
+                command, stdout=log, stderr=log, preexec_fn=signal_on_parent_exit(signal.SIGKILL)
+            )
 
     async def _pause_keeper(self, name: str, at: float, lasts: float) -> None:
         await anyio.sleep(max(at - self.play.now(), 0.0))
--- a/thornladder/rig/processes.py
+++ b/thornladder/rig/processes.py
@@ -17,7 +17,7 @@
 import anyio
 import msgspec
 
-from thornladder.children import ended_with_us
+from thornladder.children import signal_on_parent_exit
 from thornladder.rollout.keeper import DEFAULT_NODE_COMMAND
 
 
@@ -64,7 +64,11 @@
         }  # fmt: skip
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                command, env=environment, stderr=log, stdout=log, preexec_fn=ended_with_us(signal.SIGKILL)
+                command,
+                env=environment,
+                stderr=log,
+                stdout=log,
+                preexec_fn=signal_on_parent_exit(signal.SIGKILL),
             )
 
     async def ended(self) -> int:
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -24,7 +24,7 @@
 
 from thornladder import toml
 from thornladder.asking import fetch
-from thornladder.children import ended_with_us
+from thornladder.children import signal_on_parent_exit
 from thornladder.fields import MalformedError
 from thornladder.membership.wire import split_address
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, Endpoint, error_response
@@ -344,7 +344,7 @@
             kept = (self.listener.fileno(),)
             environment["EDGE_INHERITED_FD"] = str(kept[0])
         # A node that nobody keeps is not left behind: it ends in order, as on any SIGTERM.
-        end = ended_with_us(signal.SIGTERM)
+        end = signal_on_parent_exit(signal.SIGTERM)
         try:
             popen = subprocess.Popen(words, env=environment, pass_fds=kept, preexec_fn=end)
         except OSError as error:
--- a/thornladder/shares/core.py
+++ b/thornladder/shares/core.py
@@ -2,11 +2,11 @@
 
 At most one leader is in office: more than half of the configured nodes have promised it a short term. It
 grants each process an allocation under a lease. The process counts the lease from when it sent the report
-that the grant answers, so a late grant only shortens it. A spent unit counts until its window is over, and no
-unit is spent whose window might outlast the lease; so nothing is in use after a lease. An allocation is raised
-only by units that other processes have reported as given up, or whose leases have certainly expired. A new
-leader knows the allocations of the processes that have reported to it; it leaves the remaining units alone
-until every earlier lease has expired.
+that the grant answers, so a late grant only shortens it. A spent unit counts until its window is over, and
+no unit is spent whose window might outlast the lease; so nothing is in use after a lease. An allocation is
+raised only by units that other processes have reported as given up, or whose leases have certainly expired.
+A new leader knows the allocations of the processes that have reported to it; it leaves the remaining units
+alone until every earlier lease has expired.
 
 In addition each node has a floor that follows from the configured list alone. All floors and all leased
 allocations add up to the limit. Timestamps are only compared with those of the same clock; the rates of two
@@ -143,9 +143,9 @@
     term: int
     started_at: float
     elected_at: float | None = None  # None: still a candidate
-    acks: dict[str, float] = field(
-        default_factory=dict
-    )  # send time of the last request that each node answered
+    # By node, when the last request that it answered was sent.
+    acks: dict[str, float] = field(default_factory=dict)
+    # By node name and incarnation.
     processes: dict[tuple[str, int], ProcessRecord] = field(default_factory=dict)
     unreported: list[int] = field(default_factory=list)  # units that processes without a report may hold
     earlier_leases_end: float = 0.0  # by then all leases of earlier terms have expired
@@ -164,15 +164,17 @@
         """`names`: the configured nodes, this one included. `now`: seconds of any steady clock."""
         self.name, self.names, self.budgets, self.fleet = name, sorted(names), list(budgets), fleet
         self.rng, self.timing = rng, timing or Timing()
-        self.incarnation = rng.getrandbits(32)
+        self.incarnation = rng.getrandbits(32)  # tells this process from others of the same node
         self.started_at = self.now = now
         self.lease_seconds = (
             max((budget.window for budget in budgets), default=0.0) * (1.0 + MAX_CLOCK_DRIFT)
             + self.timing.lease_margin
         )
         floors = [floor_allocations(budget, self.names) for budget in budgets]
-        self.local_budgets = [LocalBudget(budget, floors[k][name]) for k, budget in enumerate(budgets)]
-        self.leasable = [budget.limit - sum(floors[k].values()) for k, budget in enumerate(budgets)]
+        self.local_budgets = [
+            LocalBudget(budget, floors[index][name]) for index, budget in enumerate(budgets)
+        ]
+        self.leasable = [budget.limit - sum(floors[index].values()) for index, budget in enumerate(budgets)]
         for local in self.local_budgets:
             local.demand_updated_at = now
         self.quorum = len(self.names) // 2 + 1
@@ -281,8 +283,9 @@
         seq = self.applied_grant[1] if self.applied_grant[0] == message.term else 0
         self._send(
             message.name, Kind.PROMISE, message.term, seq=seq, echo=message.at, to_birth=message.birth,
-            cans=[self.max_leased_units(k, self.now) for k in indexes],
-            wants=[self.local_budgets[k].demand(self.now, self.timing.demand_smoothing) for k in indexes],
+            cans=[self.max_leased_units(index, self.now) for index in indexes],
+            wants=[self.local_budgets[index].demand(self.now, self.timing.demand_smoothing)
+                   for index in indexes],
         )  # fmt: skip
 
     def _on_grant(self, message: Message) -> None:
@@ -346,8 +349,11 @@
         leadership = self.leadership
         leadership.elected_at, leadership.earlier_leases_end = self.now, self._latest_lease_end()
         leadership.unreported = [
-            max(units - sum(record.outstanding(k, self.now) for record in leadership.processes.values()), 0)
-            for k, units in enumerate(self.leasable)
+            max(
+                units - sum(record.outstanding(index, self.now) for record in leadership.processes.values()),
+                0,
+            )
+            for index, units in enumerate(self.leasable)
         ]
 
     def unallocated(self, index: int) -> int:
