--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from thornladder.membership import baselines
 from thornladder.membership.core import Core, Reachability
 from thornladder.membership.wire import VERSION, Item, Kind, Message, State, decode, encode
-from thornladder.rig.faults import Fault, Weather, check
+from thornladder.rig.faults import Fault, LinkConditions, validate_faults
 from thornladder.rig.virtual import World, ours
 
 NAMES = [f"n{number:02}" for number in range(8)]
@@ -267,9 +267,15 @@
 
 
 def test_link_faults_apply_as_configured_and_bad_faults_are_rejected() -> None:
-    weather = Weather([fault("cut", 1, 1, source=("a",), target=("b",)), fault("large", 0, 9, bytes=100)])
+    links = LinkConditions(
+        [fault("cut", 1, 1, source=("a",), target=("b",)), fault("large", 0, 9, bytes=100)]
+    )
     rng = Random(1)
-    assert weather.passes(1.5, "a", "b", 10, rng) == [] and weather.passes(1.5, "b", "a", 10, rng)
-    assert weather.carries(0.5, "a", "b", 101, rng) is None and weather.passes(2.0, "a", "b", 10, rng)
-    assert "no node" in (check([fault("kill", 1, nodes=("x",))], NAMES) or "")
-    assert "lasts" in (check([fault("pause", 1, nodes=("n01",))], NAMES) or "")
+    assert links.datagram_delays(1.5, "a", "b", 10, rng) == [] and links.datagram_delays(
+        1.5, "b", "a", 10, rng
+    )
+    assert links.stream_delay(0.5, "a", "b", 101, rng) is None and links.datagram_delays(
+        2.0, "a", "b", 10, rng
+    )
+    assert "no node" in (validate_faults([fault("kill", 1, nodes=("x",))], NAMES) or "")
+    assert "lasts" in (validate_faults([fault("pause", 1, nodes=("n01",))], NAMES) or "")
--- a/thornladder/measures/schedules.py
+++ b/thornladder/measures/schedules.py
@@ -83,5 +83,5 @@
             back = at + chance.uniform(0.1, 8.0)
             faults += [Fault(kind="kill", at=at, nodes=who), Fault(kind="start", at=back, nodes=who)]
             excuse(who, at, back)
-    healed = max(max(fault.until for fault in faults), seconds)
+    healed = max(max(fault.ends_at for fault in faults), seconds)
     return Schedule(faults, excuses, healed)
--- a/thornladder/rig/faults.py
+++ b/thornladder/rig/faults.py
@@ -36,26 +36,26 @@
     bytes: int = 0
 
     @property
-    def of_link(self) -> bool:
+    def is_link_fault(self) -> bool:
         return self.kind in LINK_KINDS
 
     @property
-    def until(self) -> float:
+    def ends_at(self) -> float:
         return self.at + self.lasts
 
-    def concerns(self, source: str, target: str) -> bool:
+    def affects(self, source: str, target: str) -> bool:
         def on(a: str, b: str) -> bool:
             return (ALL in self.source or a in self.source) and (ALL in self.target or b in self.target)
 
         return on(source, target) or (self.both and on(target, source))
 
 
-class Weather:
+class LinkConditions:
     """What the links do at a moment, as the faults have it. Clock and chance are the caller's."""
 
     def __init__(self, faults: Iterable[Fault], base: float = 0.0002) -> None:
         """`base`: seconds that any datagram takes."""
-        self.faults = sorted((fault for fault in faults if fault.of_link), key=lambda each: each.at)
+        self.faults = sorted((fault for fault in faults if fault.is_link_fault), key=lambda each: each.at)
         self.base = base
         self._moment, self._active = -1.0, self.faults[:0]
         self._concerned: dict[tuple[int, str, str], bool] = {}  # a cut of hundreds is asked of very often
@@ -64,16 +64,16 @@
         key = (id(fault), source, target)
         known = self._concerned.get(key)
         if known is None:
-            known = self._concerned[key] = fault.concerns(source, target)
+            known = self._concerned[key] = fault.affects(source, target)
         return known
 
     def active(self, now: float) -> Sequence[Fault]:
         if now != self._moment:
             self._moment = now
-            self._active = [fault for fault in self.faults if fault.at <= now < fault.until]
+            self._active = [fault for fault in self.faults if fault.at <= now < fault.ends_at]
         return self._active
 
-    def passes(self, now: float, source: str, target: str, size: int, chance: Random) -> list[float]:
+    def datagram_delays(self, now: float, source: str, target: str, size: int, chance: Random) -> list[float]:
         """After how many seconds each copy of a datagram arrives; none where it is lost."""
         later, copies = self.base, 1
         for fault in self.active(now):
@@ -91,7 +91,7 @@
                 later += fault.seconds * chance.random()
         return [later + 0.001 * copy for copy in range(copies)]
 
-    def carries(self, now: float, source: str, target: str, size: int, chance: Random) -> float | None:
+    def stream_delay(self, now: float, source: str, target: str, size: int, chance: Random) -> float | None:
         """The same for a part of a connection: what is lost is sent again, what is cut never comes (None)."""
         later = self.base
         for fault in self.active(now):
@@ -107,32 +107,32 @@
         return later
 
 
-class Move(NamedTuple):
+class NodeAction(NamedTuple):
     """Something done to a node at a moment."""
 
     at: float
-    what: Literal["stop", "go", "kill", "end", "start"]
+    kind: Literal["stop", "go", "kill", "end", "start"]
     node: str
 
 
-def moves(faults: Iterable[Fault], chance: Random) -> list[Move]:
+def node_actions(faults: Iterable[Fault], chance: Random) -> list[NodeAction]:
     """What the faults of nodes come to, in order."""
-    done: list[Move] = []
+    done: list[NodeAction] = []
     for fault in faults:
-        for node in () if fault.of_link else fault.nodes:
+        for node in () if fault.is_link_fault else fault.nodes:
             if fault.kind in ("kill", "end", "start"):
-                done.append(Move(fault.at, fault.kind, node))
+                done.append(NodeAction(fault.at, fault.kind, node))
                 continue
             at = fault.at
-            while at < fault.until:
+            while at < fault.ends_at:
                 stopped = {"pause": fault.lasts, "rob": fault.seconds}.get(fault.kind, 0.0)
-                stopped = min(stopped or 0.1 + 0.4 * chance.random(), fault.until - at)
-                done += [Move(at, "stop", node), Move(at + stopped, "go", node)]
+                stopped = min(stopped or 0.1 + 0.4 * chance.random(), fault.ends_at - at)
+                done += [NodeAction(at, "stop", node), NodeAction(at + stopped, "go", node)]
                 at += stopped + (0.05 if fault.kind == "rob" else 0.1 + 0.4 * chance.random())
     return sorted(done)
 
 
-def check(faults: Sequence[Fault], nodes: Sequence[str]) -> str | None:
+def validate_faults(faults: Sequence[Fault], nodes: Sequence[str]) -> str | None:
     """What is wrong with a timeline, by its place; None where nothing is."""
     known = {*nodes, ALL}
     for number, fault in enumerate(faults):
@@ -144,7 +144,7 @@
                 return f"{where} names {name!r}, which is no node of the fleet"
         if not 0.0 <= fault.share <= 1.0:
             return f"{where}.share must be from 0 to 1"
-        if not fault.of_link and not fault.nodes:
+        if not fault.is_link_fault and not fault.nodes:
             return f"{where}.nodes must name the nodes that {fault.kind} is done to"
         if fault.kind in ("pause", "freeze", "rob") and not fault.lasts:
             return f"{where}.lasts must be above 0 for {fault.kind}"
@@ -153,20 +153,20 @@
     return None
 
 
-class Process:
+class VirtualProcess:
     """One name in virtual time: what runs under it, if anything does, and what waits while it is stopped."""
 
     def __init__(self) -> None:
         self.core: Any = None
         self.stopped = False
-        self.waiting: list[tuple[Callable[..., None], tuple]] = []
+        self.pending_calls: list[tuple[Callable[..., None], tuple]] = []
 
-    def go(self) -> None:
+    def resume(self) -> None:
         """It goes on, with what came meanwhile."""
         self.stopped = False
-        waiting, self.waiting = self.waiting, []
+        waiting, self.pending_calls = self.pending_calls, []
         for what, given in waiting:
             what(*given)
 
-    def end(self) -> None:
-        self.core, self.stopped, self.waiting = None, False, []
+    def terminate(self) -> None:
+        self.core, self.stopped, self.pending_calls = None, False, []
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -27,7 +27,7 @@
 from thornladder.children import ended_with_us
 from thornladder.fields import MalformedError
 from thornladder.rig.clients import Clients
-from thornladder.rig.faults import Fault, Weather, check, moves
+from thornladder.rig.faults import Fault, LinkConditions, node_actions, validate_faults
 from thornladder.rig.processes import NodeProcess
 from thornladder.rig.relay import PORT, Ends, Relay
 from thornladder.rig.standins import Backend, Cold, Ledger, Listing
@@ -108,7 +108,7 @@
     @property
     def healed(self) -> float:
         """When the last fault is over."""
-        return max((fault.until for fault in self.faults), default=0.0)
+        return max((fault.ends_at for fault in self.faults), default=0.0)
 
 
 def load(path: Path) -> Plan:
@@ -131,7 +131,7 @@
     for number, each in enumerate(plan.replace):
         if not 0 <= each.backend < plan.backends.count:
             return f"replace[{number}].backend names none of the {plan.backends.count} backends"
-    return check(plan.faults, [*plan.names, DRIVER] if plan.change else plan.names)
+    return validate_faults(plan.faults, [*plan.names, DRIVER] if plan.change else plan.names)
 
 
 OFFERINGS = [
@@ -170,7 +170,7 @@
         network, self.reserved = _network()
         self.ends = {name: Ends(f"127.{network}.0.{k + 1}", f"127.{network}.1.{k + 1}")
                      for k, name in enumerate(plan.names)}  # fmt: skip
-        self.relay = Relay(self.ends, Weather(plan.faults), Random(seed + 1), self.now)
+        self.relay = Relay(self.ends, LinkConditions(plan.faults), Random(seed + 1), self.now)
         self.backends: list[Backend] = []
         self.nodes: dict[str, NodeProcess] = {}
         self.rolling = Rollout(self) if plan.change is not None else None
@@ -294,22 +294,22 @@
     # During it.
 
     async def _faults(self) -> None:
-        for move in moves(self.plan.faults, self.chance):
+        for move in node_actions(self.plan.faults, self.chance):
             await anyio.sleep(max(move.at - self.now(), 0.0))
             node = self.nodes[move.node]
-            if move.what in ("kill", "end", "start"):
-                self.happened.append((round(self.now(), 3), move.what, move.node))
-                self.say(f"{self.now():6.1f} {move.what} {move.node}")
-            if move.what == "start":
+            if move.kind in ("kill", "end", "start"):
+                self.happened.append((round(self.now(), 3), move.kind, move.node))
+                self.say(f"{self.now():6.1f} {move.kind} {move.node}")
+            if move.kind == "start":
                 await self._start(move.node)
-            elif move.what == "stop":
+            elif move.kind == "stop":
                 node.signal(signal.SIGSTOP)
-            elif move.what == "go":
+            elif move.kind == "go":
                 node.signal(signal.SIGCONT)
-            elif move.what == "kill":
+            elif move.kind == "kill":
                 node.planned = True
                 node.signal(signal.SIGKILL)
-            elif move.what == "end":
+            elif move.kind == "end":
                 node.planned = True
                 node.signal(signal.SIGTERM)
 
@@ -428,7 +428,7 @@
     def _was_hit(self, name: str, at: float) -> bool:
         """Whether the node was dead, ending or stopped within the life of an invocation sent then."""
         return any(
-            name in fault.nodes and fault.at - 1.6 <= at <= max(fault.until, fault.at + 1.0) + 1.0
+            name in fault.nodes and fault.at - 1.6 <= at <= max(fault.ends_at, fault.at + 1.0) + 1.0
             for fault in self.plan.faults
         )
 
--- a/thornladder/rig/relay.py
+++ b/thornladder/rig/relay.py
@@ -15,7 +15,7 @@
 import anyio
 from anyio.abc import SocketStream, TaskGroup
 
-from thornladder.rig.faults import Weather
+from thornladder.rig.faults import LinkConditions
 
 PORT = 7946
 BATCH = 64  # datagrams read in one go
@@ -28,10 +28,10 @@
 
 class Relay:
     def __init__(
-        self, ends: dict[str, Ends], weather: Weather, chance: Random, now: Callable[[], float]
+        self, ends: dict[str, Ends], link_conditions: LinkConditions, chance: Random, now: Callable[[], float]
     ) -> None:
         """`now`: seconds of the play."""
-        self.ends, self.weather, self.chance, self.now = ends, weather, chance, now
+        self.ends, self.link_conditions, self.chance, self.now = ends, link_conditions, chance, now
         self.names = {each.own: name for name, each in ends.items()}
         self.sockets: dict[str, socket.socket] = {}
         self.doors: dict[str, anyio.CancelScope] = {}
@@ -78,7 +78,7 @@
             await anyio.sleep(0)
 
     def _pass(self, sender: str, target: str, data: bytes) -> None:
-        copies = self.weather.passes(self.now(), sender, target, len(data), self.chance)
+        copies = self.link_conditions.datagram_delays(self.now(), sender, target, len(data), self.chance)
         self.dropped += not copies
         for later in copies:
             self.passed += 1
@@ -143,7 +143,7 @@
             while True:
                 data = await source.receive()
                 size = min(len(data), 1460)
-                later = self.weather.carries(self.now(), sender, target, size, self.chance)
+                later = self.link_conditions.stream_delay(self.now(), sender, target, size, self.chance)
                 if later is None:
                     await anyio.sleep(10.0)  # cut: nobody waits for as long
                     break
--- a/thornladder/rig/virtual.py
+++ b/thornladder/rig/virtual.py
@@ -15,7 +15,7 @@
 
 from thornladder.membership.core import Action, ConnectionOutcome, ConnectionProbe, Core, Send, Sync
 from thornladder.membership.wire import Message, decode, encode
-from thornladder.rig.faults import Fault, Move, Process, Weather, moves
+from thornladder.rig.faults import Fault, LinkConditions, NodeAction, VirtualProcess, node_actions
 
 HEAD = 28  # bytes of UDP and IP round each datagram
 CONNECTION = 240  # bytes of a connection made and ended, about
@@ -48,7 +48,7 @@
     view: bool
 
 
-class Place(Process):
+class Place(VirtualProcess):
     """One name, and what its process has cost."""
 
     def __init__(self, name: str, address: str) -> None:
@@ -78,7 +78,7 @@
         self.chance = Random(seed)
         self.now = 0.0
         self.make, self.skew = make, skew or {}
-        self.weather = Weather(faults)
+        self.link_conditions = LinkConditions(faults)
         self.places = {name: Place(name, f"10.0.{k // 250}.{k % 250}:7946") for k, name in enumerate(names)}
         self.by_address = {place.address: place for place in self.places.values()}
         self.seeds = [place.address for place in self.places.values()][:seeds]
@@ -90,7 +90,7 @@
             self.start(name)
         if joined:
             self.introduce()
-        for move in moves(faults, self.chance):
+        for move in node_actions(faults, self.chance):
             self.at(move.at, self._move, move)
 
     def introduce(self) -> None:
@@ -121,7 +121,7 @@
         place.starts += 1
         chance = Random(f"{name} {place.starts} {self.chance.random()}")
         place.core = self.make(name, place.address, self.seeds, chance, self._clock(place))
-        place.stopped, place.waiting = False, []
+        place.stopped, place.pending_calls = False, []
         self._wake_later(place)
 
     def _wake_later(self, place: Place) -> None:
@@ -134,7 +134,7 @@
         if place.core is not core or number != place.wakes:
             return
         if place.stopped:
-            place.waiting.append((self._wake, (place, core, number)))
+            place.pending_calls.append((self._wake, (place, core, number)))
             return
         if core.next_wake_at - self.skew.get(place.name, 0.0) <= self.now + 1e-9:
             self._step(place, core.wake, self._clock(place))
@@ -156,8 +156,8 @@
         if place.core is None:
             return
         if place.stopped:
-            if len(place.waiting) < self.MOST_WAITING:
-                place.waiting.append((self._arrive, (place, source, data, by_connection)))
+            if len(place.pending_calls) < self.MOST_WAITING:
+                place.pending_calls.append((self._arrive, (place, source, data, by_connection)))
             return
         message = decode(data)
         if message is not None:
@@ -182,12 +182,14 @@
             self._sync(place, target)
 
     def _send(self, place: Place, target: Place, data: bytes) -> None:
-        for later in self.weather.passes(self.now, place.name, target.name, len(data), self.chance):
+        for later in self.link_conditions.datagram_delays(
+            self.now, place.name, target.name, len(data), self.chance
+        ):
             self.at(self.now + later, self._arrive, target, place.address, data)
 
     def _there_and_back(self, a: Place, b: Place, size: int) -> float | None:
-        there = self.weather.carries(self.now, a.name, b.name, size, self.chance)
-        back = self.weather.carries(self.now, b.name, a.name, size, self.chance)
+        there = self.link_conditions.stream_delay(self.now, a.name, b.name, size, self.chance)
+        back = self.link_conditions.stream_delay(self.now, b.name, a.name, size, self.chance)
         return None if there is None or back is None else there + back
 
     def _check(self, place: Place, target: Place | None, act: ConnectionProbe) -> None:
@@ -222,22 +224,22 @@
 
     # What is done to them.
 
-    def _move(self, move: Move) -> None:
+    def _move(self, move: NodeAction) -> None:
         place = self.places[move.node]
-        if move.what == "start":
+        if move.kind == "start":
             self.start(move.node)
         elif place.core is None:
             return
-        elif move.what == "stop":
+        elif move.kind == "stop":
             place.stopped = True
-        elif move.what == "go" and place.stopped:
-            place.go()
-        elif move.what in ("kill", "end"):
-            if move.what == "end" and not place.stopped:
+        elif move.kind == "go" and place.stopped:
+            place.resume()
+        elif move.kind in ("kill", "end"):
+            if move.kind == "end" and not place.stopped:
                 place.core.leave(self._clock(place))
                 for act in place.core.take_actions():
                     self._act(place, act)
-            place.end()
+            place.terminate()
 
     # What is true.
 
--- a/thornladder/shares/virtual.py
+++ b/thornladder/shares/virtual.py
@@ -12,14 +12,14 @@
 from random import Random
 from typing import Any
 
-from thornladder.rig.faults import Fault, Move, Process, Weather, moves
+from thornladder.rig.faults import Fault, LinkConditions, NodeAction, VirtualProcess, node_actions
 from thornladder.shares.core import DRIFT, Budget, Core
 from thornladder.shares.wire import Message
 
 Demand = Callable[[str, float], float]  # spends a second that a node has use for, at a moment
 
 
-class Place(Process):
+class Place(VirtualProcess):
     def __init__(self, name: str, rate: float, zero: float) -> None:
         """`rate`, `zero`: of its clock."""
         super().__init__()
@@ -37,7 +37,7 @@
     ) -> None:  # fmt: skip
         self.names, self.budget, self.demand, self.make = list(names), budget, demand, make
         self.chance = Random(seed)
-        self.weather = Weather(faults)
+        self.link_conditions = LinkConditions(faults)
         half = 0.49 * DRIFT  # of two clocks: they differ by DRIFT at most
         self.places = {}
         for name in names:
@@ -53,7 +53,7 @@
         self.taken: dict[int, int] = {}  # by second
         for name in names:
             self.start(name)
-        for move in moves(faults, self.chance):
+        for move in node_actions(faults, self.chance):
             self.at(move.at, self._move, move)
 
     def at(self, when: float, what: Callable[..., None], *given: Any) -> None:
@@ -71,7 +71,7 @@
             return
         chance = Random(self.chance.getrandbits(64))
         place.core = self.make(name, self.names, [self.budget], chance, place.clock(self.now))
-        place.stopped, place.waiting = False, []
+        place.stopped, place.pending_calls = False, []
         self._later(place, place.core)
         if self.demand is not None:
             self.at(self.now + self.chance.random() * 0.1, self._arrive, place, place.core)
@@ -85,7 +85,7 @@
         if place.core is not core:
             return True
         if place.stopped:
-            place.waiting.append((what, given))
+            place.pending_calls.append((what, given))
         return place.stopped
 
     def _wake(self, place: Place, core: Any) -> None:
@@ -106,7 +106,9 @@
                 self._message(place, core, act.message)
                 continue
             size = 60 + 4 * len(act.message.parts)
-            for later in self.weather.passes(self.now, place.name, act.name, size, self.chance):
+            for later in self.link_conditions.datagram_delays(
+                self.now, place.name, act.name, size, self.chance
+            ):
                 if target.core is not None:
                     self.at(self.now + later, self._message, target, target.core, act.message)
         self._check()
@@ -129,21 +131,21 @@
         rate = self.demand(place.name, self.now)
         self.at(self.now + (self.chance.expovariate(rate) if rate > 0.0 else 0.5), self._arrive, place, core)
 
-    def _move(self, move: Move) -> None:
+    def _move(self, move: NodeAction) -> None:
         place = self.places[move.node]
-        if move.what == "start":
+        if move.kind == "start":
             self.start(move.node)
         elif place.core is None:
             return
-        elif move.what == "stop":
+        elif move.kind == "stop":
             place.stopped = True
-        elif move.what == "go":
-            place.go()
+        elif move.kind == "go":
+            place.resume()
         else:
             used = place.core.holdings[0].leased.look(place.clock(self.now))
             if used:
                 self.dead.append((self.now + self.budget.hold, used))
-            place.end()
+            place.terminate()
 
     def used(self, since: int, until: int) -> float:
         """Share of the whole that was spent in these seconds."""
