--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,19 +23,19 @@
 from thornladder.membership.wire import Item, State
 from thornladder.rig import play, summary
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import Holds, Load, Plan
+from thornladder.rig.play import Expectations, Load, Scenario
 
 
 def test_four_processes_with_one_killed_one_paused_and_one_link_cut_one_way() -> None:
-    plan = Plan(
+    plan = Scenario(
         seconds=20.0, load=Load(rate=20.0),
         faults=[Fault(kind="kill", at=1, nodes=("n01",)), Fault(kind="pause", at=5, lasts=3, nodes=("n02",)),
                 Fault(kind="start", at=12, nodes=("n01",)),
                 Fault(kind="cut", at=1, lasts=16, source=("n00",), target=("n03",))],
-        holds=Holds(removed=["n01"], one_view_after=60.0),
+        holds=Expectations(removed=["n01"], one_view_after=60.0),
     )  # fmt: skip
-    told = play.run(plan, 1)
-    assert told["holds"], summary.text(told)
+    told = play.run_scenario(plan, 1)
+    assert told["holds"], summary.format_summary(told)
     # All others took it for ended by two witnesses, once, and for alive again after that, once.
     for name in ("n00", "n02", "n03"):
         course = [(each["state"], len(each["witnesses"]) >= 2) for each in told["changes"]
@@ -51,9 +51,11 @@
 def test_a_number_of_nodes_lowered_at_once_is_caught() -> None:
     cut = Fault(kind="cut", at=0, lasts=23, source=("n00", "n01"), target=("n02", "n03"), both=True)
     for hold, caught in ((0.0, True), (300.0, False)):
-        told = play.run(Plan(seconds=24.0, hold=hold, lower_after=hold, load=Load(rate=0), faults=[cut]), 1)
+        told = play.run_scenario(
+            Scenario(seconds=24.0, hold=hold, lower_after=hold, load=Load(rate=0), faults=[cut]), 1
+        )
         assert any(each["view"] and each["state"] == "lost" for each in told["changes"])
-        assert told["holds"] is not caught, summary.text(told)
+        assert told["holds"] is not caught, summary.format_summary(told)
 
 
 def test_the_command_line_plays_a_file_and_refuses_a_bad_one(tmp_path: Path) -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from thornladder.measures.rollout import REFUSED, SOUND, SOUND_ONE, every_death, simulated, walked
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import DRIVER, Load, Rolling
+from thornladder.rig.play import DRIVER, Load, RolloutSpec
 from thornladder.rollout import explore, virtual
 from thornladder.rollout.core import Driver, Phase, Record
 from thornladder.rollout.judge import Block, Odds
@@ -237,11 +237,11 @@
         "longest": 100.0}  # fmt: skip
 
 
-def rolled(change: Rolling, faults: list[Fault], until: str) -> dict[str, Any]:
+def rolled(change: RolloutSpec, faults: list[Fault], until: str) -> dict[str, Any]:
     """Three nodes with keepers; until the driver has ended, however long that takes here."""
-    plan = play.Plan(seconds=300.0, nodes=3, membership=False, load=Load(rate=30.0), change=change,
-                     faults=faults, until_changed=True)  # fmt: skip
-    told = play.run(plan, 1)
+    plan = play.Scenario(seconds=300.0, nodes=3, membership=False, load=Load(rate=30.0), change=change,
+                         faults=faults, until_changed=True)  # fmt: skip
+    told = play.run_scenario(plan, 1)
     broken = [each for each in told["checks"] if not each["holds"]]
     last = told["rollout"]["records"][-1]
     assert last[1] == until and not broken, (last, broken)
@@ -250,12 +250,12 @@
 
 def test_on_processes_settings_go_round_though_the_driver_is_killed_and_cut_off() -> None:
     cut = Fault(kind="cut", at=12.0, lasts=4.0, source=(DRIVER,), target=("n01", "n02"), both=True)
-    told = rolled(Rolling(at=0.0, settings=SOUND, more=MORE, killed=[5.0]), [cut], "done")
+    told = rolled(RolloutSpec(at=0.0, settings=SOUND, more=MORE, killed=[5.0]), [cut], "done")
     assert {(node["line"], node["running"]) for node in told["nodes"].values()} == {(1, 1)}
     assert len(told["drivers"]) == 2
 
 
 def test_on_processes_a_program_that_ends_at_its_start_never_serves() -> None:
-    told = rolled(Rolling(at=0.0, flaw="start", more=MORE), [], "undone")
+    told = rolled(RolloutSpec(at=0.0, flaw="start", more=MORE), [], "undone")
     assert {(node["line"], node["running"]) for node in told["nodes"].values()} == {(0, 0)}
     assert max(row[4] or 0 for row in told["records"]) == 1
--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -209,16 +209,18 @@
     from thornladder.rig import play, summary
 
     try:
-        plan = play.load(file)
+        plan = play.load_scenario(file)
     except MalformedError as error:
         refuse(f"{file}: {error}")
     try:
-        told = play.run(plan, seed, progress=None if quiet else lambda words: print(words, file=sys.stderr))
-    except play.PlayFailed as error:
+        told = play.run_scenario(
+            plan, seed, progress=None if quiet else lambda words: print(words, file=sys.stderr)
+        )
+    except play.ScenarioError as error:
         refuse(str(error), 1)
     if result is not None:
         result.write_text(json.dumps(told))
-    print(summary.text(told))
+    print(summary.format_summary(told))
     raise typer.Exit(0 if told["holds"] else 1)
 
 
@@ -231,7 +233,7 @@
         told = json.loads(file.read_bytes())
     except (OSError, ValueError) as error:
         refuse(f"{file}: {error}")
-    print(summary.text(told))
+    print(summary.format_summary(told))
 
 
 if __name__ == "__main__":
--- a/thornladder/measures/membership.py
+++ b/thornladder/measures/membership.py
@@ -18,7 +18,7 @@
 from thornladder.membership.explore import explore
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import Holds, Load, Plan, Replace
+from thornladder.rig.play import BackendReplacement, Expectations, Load, Scenario
 from thornladder.rig.virtual import World, ours
 
 OUT = ("lost", "ended", "left")
@@ -38,7 +38,7 @@
     END = 232.0
 
 
-def long_play(size: int, seed: int) -> Plan:
+def long_play(size: int, seed: int) -> Scenario:
     names = [f"n{number:02}" for number in range(size)]
     c = Course
     half = size // 2
@@ -57,15 +57,15 @@
         Fault(kind="kill", at=c.HALF, nodes=left), Fault(kind="start", at=c.HALF_START, nodes=left),
         Fault(kind="loss", at=c.LOSS, lasts=c.LOSS_END - c.LOSS, share=0.3),
     ]  # fmt: skip
-    return Plan(seconds=c.END, nodes=size, seeds=min(3, size), load=Load(rate=0.0), faults=faults,
-                holds=Holds(one_view_after=10.0))  # fmt: skip
+    return Scenario(seconds=c.END, nodes=size, seeds=min(3, size), load=Load(rate=0.0), faults=faults,
+                    holds=Expectations(one_view_after=10.0))  # fmt: skip
 
 
 def played(size: int, seed: int) -> dict[str, Any] | str:
     """What happened, or why it could not be played."""
     try:
-        return play.run(long_play(size, seed), seed)
-    except (play.PlayFailed, OSError, ExceptionGroup) as error:
+        return play.run_scenario(long_play(size, seed), seed)
+    except (play.ScenarioError, OSError, ExceptionGroup) as error:
         return repr(error)
 
 
@@ -275,17 +275,18 @@
 # Service: the same faults under load, membership on and off, paired.
 
 
-SERVICE: dict[str, tuple[list[Fault], list[Replace]]] = {
+SERVICE: dict[str, tuple[list[Fault], list[BackendReplacement]]] = {
     "calm": ([], []),
     "killed and back": (
         [Fault(kind="kill", at=6, nodes=("n01",)), Fault(kind="start", at=12, nodes=("n01",))],
-        [Replace(backend=0, at=8.0)],
+        [BackendReplacement(backend=0, at=8.0)],
     ),
-    "paused": ([Fault(kind="pause", at=6, lasts=5, nodes=("n01",))], [Replace(backend=0, at=8.0)]),
-    "30% loss": ([Fault(kind="loss", at=4, lasts=18, share=0.3)], [Replace(backend=0, at=8.0)]),
-    "one-sided": ([Fault(kind="cut", at=4, lasts=15, source=("n01",))], [Replace(backend=0, at=8.0)]),
+    "paused": ([Fault(kind="pause", at=6, lasts=5, nodes=("n01",))], [BackendReplacement(backend=0, at=8.0)]),
+    "30% loss": ([Fault(kind="loss", at=4, lasts=18, share=0.3)], [BackendReplacement(backend=0, at=8.0)]),
+    "one-sided": ([Fault(kind="cut", at=4, lasts=15, source=("n01",))],
+                  [BackendReplacement(backend=0, at=8.0)]),
     "cut": ([Fault(kind="cut", at=4, lasts=15, source=("n00", "n01"), target=("n02", "n03"), both=True)],
-            [Replace(backend=0, at=8.0)]),
+            [BackendReplacement(backend=0, at=8.0)]),
 }  # fmt: skip
 
 
@@ -293,9 +294,9 @@
     faults, replace = SERVICE[name]
     # A fifth of what the backends bear, so that a cold one feels its part.
     load = Load(rate=120.0, cost=0.015)
-    plan = Plan(seconds=24.0, nodes=4, membership=membership, load=load, faults=faults,
-                replace=replace)  # fmt: skip
-    return play.run(plan, seed)
+    plan = Scenario(seconds=24.0, nodes=4, membership=membership, load=load, faults=faults,
+                    replace=replace)  # fmt: skip
+    return play.run_scenario(plan, seed)
 
 
 def under_load(points: Points, pool: ProcessPoolExecutor, seeds: range) -> None:
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -19,7 +19,7 @@
 from thornladder.node.messages import ClientResponse, FinalOutcome, UpstreamRequest
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import DRIVER, Load, Plan, Replace, Rolling
+from thornladder.rig.play import DRIVER, BackendReplacement, Load, RolloutSpec, Scenario
 from thornladder.rollout import explore, virtual
 from thornladder.rollout.core import Driver, Phase
 from thornladder.rollout.counters import Counters
@@ -182,20 +182,22 @@
 FLAWS = ("start", "tenth", "after:8", "slow:pay:0.03", "nack:0.1", "leak:2000000")
 
 
-def the_play(kind: str, change: Rolling | None, faults: list[Fault], seconds: float, nodes: int) -> Plan:
+def the_play(
+    kind: str, change: RolloutSpec | None, faults: list[Fault], seconds: float, nodes: int
+) -> Scenario:
     load = Load(rate=12.0 * nodes, cost=0.004)
-    released = [Replace(backend=0, at=30.0)] if kind == "released" else []
+    released = [BackendReplacement(backend=0, at=30.0)] if kind == "released" else []
     ends = change is not None and not change.rivals
-    return Plan(seconds=seconds, nodes=nodes, membership=False, load=load, faults=faults, change=change,
-                until_changed=ends, replace=released)  # fmt: skip
+    return Scenario(seconds=seconds, nodes=nodes, membership=False, load=load, faults=faults, change=change,
+                    until_changed=ends, replace=released)  # fmt: skip
 
 
-def plays(full: bool) -> dict[str, Plan]:
+def plays(full: bool) -> dict[str, Scenario]:
     nodes, long = (NODES, 150.0) if full else (6, 110.0)
     more = MORE if full else {**MORE, "before": 8.0, "watch": 8.0, "least_each": 15}
 
-    def rolled(at: float = 2.0, **what: Any) -> Rolling:
-        return Rolling(at=at, more=more, **what)
+    def rolled(at: float = 2.0, **what: Any) -> RolloutSpec:
+        return RolloutSpec(at=at, more=more, **what)
 
     cut = Fault(kind="cut", at=25.0, lasts=20.0, source=(DRIVER,), both=True,
                 target=tuple(f"n{k:02}" for k in range(nodes // 2)))  # fmt: skip
@@ -221,10 +223,10 @@
     return made
 
 
-def played(name: str, plan: Plan) -> dict[str, Any] | str:
+def played(name: str, plan: Scenario) -> dict[str, Any] | str:
     try:
-        return play.run(plan, 1)
-    except (play.PlayFailed, OSError, ExceptionGroup) as error:
+        return play.run_scenario(plan, 1)
+    except (play.ScenarioError, OSError, ExceptionGroup) as error:
         return repr(error)
 
 
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -54,7 +54,7 @@
     cost: float = 0.004  # seconds of a backend's core, at its full speed
 
 
-class Replace(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class BackendReplacement(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A backend ends and is back cold after `down` seconds."""
 
     backend: int
@@ -62,7 +62,7 @@
     down: float = 1.0
 
 
-class Holds(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Expectations(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """What must hold. Left out: not asked."""
 
     utility: float | None = None  # at least
@@ -72,7 +72,7 @@
     accused_by: list[str] | None = None  # members that may have said a word against another
 
 
-class Rolling(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RolloutSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A change that is driven while the play goes on; its nodes have keepers."""
 
     at: float
@@ -85,7 +85,7 @@
     keepers_paused: list[tuple[str, float, float]] = []  # node, when, for how many seconds
 
 
-class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     seconds: float
     nodes: int = 4
     zones: int = 1
@@ -95,31 +95,31 @@
     lower_after: float = 5.0
     backends: Backends = Backends()
     load: Load = Load()
-    replace: list[Replace] = []
+    replace: list[BackendReplacement] = []
     faults: list[Fault] = []
-    change: Rolling | None = None
+    change: RolloutSpec | None = None
     until_changed: bool = False  # the play ends with the change, where that is sooner
-    holds: Holds = Holds()
+    holds: Expectations = Expectations()
 
     @property
-    def names(self) -> list[str]:
+    def node_names(self) -> list[str]:
         return [f"n{number:02}" for number in range(self.nodes)]
 
     @property
-    def healed(self) -> float:
+    def faults_end_at(self) -> float:
         """When the last fault is over."""
         return max((fault.ends_at for fault in self.faults), default=0.0)
 
 
-def load(path: Path) -> Plan:
+def load_scenario(path: Path) -> Scenario:
     """Raises MalformedError with one line that names the field."""
-    plan = toml.read(path, Plan)
+    plan = toml.read(path, Scenario)
     if wrong := sound(plan):
         raise MalformedError(wrong)
     return plan
 
 
-def sound(plan: Plan) -> str | None:
+def sound(plan: Scenario) -> str | None:
     if not 1 <= plan.nodes <= 100:
         return "nodes must be from 1 to 100"
     if not 0 <= plan.seeds <= plan.nodes:
@@ -131,7 +131,7 @@
     for number, each in enumerate(plan.replace):
         if not 0 <= each.backend < plan.backends.count:
             return f"replace[{number}].backend names none of the {plan.backends.count} backends"
-    return validate_faults(plan.faults, [*plan.names, DRIVER] if plan.change else plan.names)
+    return validate_faults(plan.faults, [*plan.node_names, DRIVER] if plan.change else plan.node_names)
 
 
 OFFERINGS = [
@@ -140,7 +140,7 @@
 ]
 
 
-def settings(plan: Plan, zone: str) -> dict[str, Any]:
+def settings(plan: Scenario, zone: str) -> dict[str, Any]:
     """Of a node, in the operators' form."""
     cold = Cold(warm_up=plan.backends.warm_up)
     return {
@@ -153,8 +153,10 @@
     }  # fmt: skip
 
 
-class Play:
-    def __init__(self, plan: Plan, seed: int, folder: Path, progress: Callable[[str], None] | None) -> None:
+class ScenarioRun:
+    def __init__(
+        self, plan: Scenario, seed: int, folder: Path, progress: Callable[[str], None] | None
+    ) -> None:
         self.plan, self.seed, self.folder, self.progress = plan, seed, folder, progress
         self.chance = Random(seed)
         self.zero = time.monotonic()
@@ -169,7 +171,7 @@
         self.under = 0  # by how many the nodes that run were more than one of them counted
         network, self.reserved = _network()
         self.ends = {name: Ends(f"127.{network}.0.{k + 1}", f"127.{network}.1.{k + 1}")
-                     for k, name in enumerate(plan.names)}  # fmt: skip
+                     for k, name in enumerate(plan.node_names)}  # fmt: skip
         self.relay = Relay(self.ends, LinkConditions(plan.faults), Random(seed + 1), self.now)
         self.backends: list[Backend] = []
         self.nodes: dict[str, NodeProcess] = {}
@@ -192,10 +194,10 @@
                 if plan.membership:
                     self.relay.open(group)
                 await self._stand_ins()
-                for name in plan.names:
+                for name in plan.node_names:
                     self._node(name)
                     await self._start(name)
-                addresses = {name: (self.ends[name].own, 8080) for name in plan.names}
+                addresses = {name: (self.ends[name].own, 8080) for name in plan.node_names}
                 clients = self.clients = Clients(
                     addresses, OFFERINGS, max(plan.load.rate, 0.001), Random(self.seed + 2), self.now
                 )
@@ -242,7 +244,7 @@
         return "abcdefgh"[number % min(self.plan.zones, 8)]
 
     def _node(self, name: str) -> None:
-        number, ends = self.plan.names.index(name), self.ends[name]
+        number, ends = self.plan.node_names.index(name), self.ends[name]
         config = {
             "name": name, "listen": f"{ends.own}:8080", "discovery": f"127.0.0.1:{self.listing.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -250,7 +252,7 @@
         }  # fmt: skip
         fleet = None
         if self.plan.membership:
-            seeds = [f"{self.ends[seed].relay}:{PORT}" for seed in self.plan.names[: self.plan.seeds]]
+            seeds = [f"{self.ends[seed].relay}:{PORT}" for seed in self.plan.node_names[: self.plan.seeds]]
             fleet = {"fleet": "rig", "listen": f"{ends.own}:{PORT}", "advertise": f"{ends.relay}:{PORT}",
                      "seeds": seeds, "zone": self._zone(number), "hold": self.plan.hold,
                      "lower_after": self.plan.lower_after}  # fmt: skip
@@ -279,8 +281,8 @@
         with anyio.move_on_after(READY) as scope:
             while True:
                 if self.crashed:
-                    raise PlayFailed(f"{self.crashed[0][1]} ended at its start: see its log")
-                told = [await self._ask(name) for name in self.plan.names]
+                    raise ScenarioError(f"{self.crashed[0][1]} ended at its start: see its log")
+                told = [await self._ask(name) for name in self.plan.node_names]
                 joined = all(
                     each is not None and 1 + sum(m["state"] == "alive" for m in each["members"]) == len(told)
                     for each in told
@@ -289,7 +291,7 @@
                     return
                 await anyio.sleep(0.1)
         if scope.cancelled_caught:
-            raise PlayFailed(f"the nodes were not ready after {READY:.0f} s")
+            raise ScenarioError(f"the nodes were not ready after {READY:.0f} s")
 
     # During it.
 
@@ -313,7 +315,7 @@
                 node.planned = True
                 node.signal(signal.SIGTERM)
 
-    async def _replace(self, each: Replace) -> None:
+    async def _replace(self, each: BackendReplacement) -> None:
         await anyio.sleep(max(each.at - self.now(), 0.0))
         backend = self.backends[each.backend]
         self.listing.put(backend.id, backend.port, backend.zone, 0.0, "terminated")
@@ -337,7 +339,7 @@
             return
         while True:
             async with anyio.create_task_group() as group:
-                for name in self.plan.names:
+                for name in self.plan.node_names:
                     group.start_soon(self._look_at, name)
             await anyio.sleep(LOOK)
 
@@ -362,7 +364,7 @@
         """Seconds from the end of the last fault until all hold one true view; inf if they do not in time."""
         limit = self.plan.holds.one_view_after
         # Guards against a true view that counts as none, since the play itself went on after the last fault.
-        until = max(self.plan.healed, self.now()) + (10.0 if limit is None else limit)
+        until = max(self.plan.faults_end_at, self.now()) + (10.0 if limit is None else limit)
         while True:
             running = self.running
             answers: dict[str, Any] = {}
@@ -377,7 +379,7 @@
             views = [sorted([each["name"], *(m["name"] for m in each["members"] if m["state"] in HERE)])
                      for each in told if each is not None]  # fmt: skip
             if len(views) == len(running) and all(view == running for view in views):
-                return max(self.now() - self.plan.healed, 0.0)
+                return max(self.now() - self.plan.faults_end_at, 0.0)
             if self.now() > until:
                 return math.inf
             await anyio.sleep(0.1)
@@ -439,7 +441,7 @@
 class Rollout:
     """The keepers' files, the driver as a process of its own, and the doors between the two."""
 
-    def __init__(self, play: Play) -> None:
+    def __init__(self, play: ScenarioRun) -> None:
         self.play, self.change = play, play.plan.change
         self.file = play.folder / "change.toml"
         self.process: subprocess.Popen | None = None
@@ -464,14 +466,14 @@
             change["program"] = [sys.executable, "-B", "-m", "thornladder.rig.flawed", self.change.flaw]
             change["speaks"] = {"orders": FORM_OF_ORDERS}
         nodes = {name: f"{each.relay}:{KEEPER}" for name, each in self.play.ends.items()}
-        zones = {name: self.play._zone(k) for k, name in enumerate(self.play.plan.names)}
+        zones = {name: self.play._zone(k) for k, name in enumerate(self.play.plan.node_names)}
         told = {**self.change.more, "change": change, "nodes": nodes, "zones": zones}
         file.write_bytes(msgspec.toml.encode(told))
 
     async def run(self) -> None:
         play = self.play
         self._write(self.file, "new")
-        for name in play.plan.names:
+        for name in play.plan.node_names:
             own = (play.ends[name].own, KEEPER)
             await play.group.start(play.relay.pass_on, DRIVER, name, self._door(name), own)
         for each in self.change.keepers_paused:
@@ -523,7 +525,7 @@
     async def told(self) -> dict[str, Any]:
         """What was meant, and what each node holds and runs at the end."""
         nodes: dict[str, Any] = {}
-        for name in self.play.plan.names:
+        for name in self.play.plan.node_names:
             address = f"{self.play.ends[name].own}:{KEEPER}"
             try:
                 told = await anyio.to_thread.run_sync(fetch, address, "/state", 5.0)
@@ -558,11 +560,11 @@
         return sorted(taken)
 
 
-class PlayFailed(Exception):
+class ScenarioError(Exception):
     """It could not be played; the text says why."""
 
 
-def verdicts(plan: Plan, told: dict[str, Any]) -> list[dict[str, Any]]:
+def verdicts(plan: Scenario, told: dict[str, Any]) -> list[dict[str, Any]]:
     """Each thing that must hold, with its figure and its limit. The rules always must."""
     checks: list[dict[str, Any]] = []
 
@@ -623,21 +625,21 @@
             return number, reserved
         except OSError:
             reserved.close()
-    raise PlayFailed("no free addresses of the loopback range")
+    raise ScenarioError("no free addresses of the loopback range")
 
 
-def run(
-    plan: Plan, seed: int, progress: Callable[[str], None] | None = None, keep: Path | None = None
+def run_scenario(
+    plan: Scenario, seed: int, progress: Callable[[str], None] | None = None, keep: Path | None = None
 ) -> dict[str, Any]:
     """Plays to the end and returns what happened; raises PlayFailed. `keep`: a folder for the nodes' logs."""
     # Guards against nodes that stand still while a slow disk takes what they rename: their folder is memory.
     memory = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
     folder = keep or Path(tempfile.mkdtemp(prefix="thornladder-rig-", dir=memory))
-    play = Play(plan, seed, folder, progress)
+    play = ScenarioRun(plan, seed, folder, progress)
     try:
         return anyio.run(play.run, backend_options={"use_uvloop": True})
     except BaseExceptionGroup as group:
-        failed = group.subgroup(PlayFailed)
+        failed = group.subgroup(ScenarioError)
         if failed is None:
             raise
         error = failed
--- a/thornladder/rig/standins.py
+++ b/thornladder/rig/standins.py
@@ -172,7 +172,7 @@
         return 200, [], f"{id} {offering}".encode()
 
 
-def line(id: str, port: int, zone: str, started: float, lifecycle: str) -> dict[str, Any]:
+def instance_entry(id: str, port: int, zone: str, started: float, lifecycle: str) -> dict[str, Any]:
     """One backend as the list service tells of it."""
     return {
         "instanceId": id, "hostPort": f"127.0.0.1:{port}", "zone": zone, "cell": 0, "weight": 1.0,
@@ -193,7 +193,7 @@
     def put(self, id: str, port: int, zone: str, started: float, lifecycle: str = "in_service") -> None:
         """`started`: Unix time; 0 for long ago."""
         self.version += 1
-        self.lines[id] = line(id, port, zone, started, lifecycle)
+        self.lines[id] = instance_entry(id, port, zone, started, lifecycle)
         self.changed.append((self.version, id))
         self.news.set()
         self.news = anyio.Event()
--- a/thornladder/rig/summary.py
+++ b/thornladder/rig/summary.py
@@ -7,7 +7,7 @@
 PLAIN = ("one-sided", "through", "by connection")  # ways that are worth a line
 
 
-def text(told: dict[str, Any]) -> str:
+def format_summary(told: dict[str, Any]) -> str:
     plan = told["plan"]
     fleet = f"{plan['nodes']} nodes, {plan['backends']['count']} backends"
     lines = [f"{fleet}, {plan['seconds']:g} s, seed {told['seed']}"]
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -32,7 +32,7 @@
 from thornladder.node.tasks import Tasks
 from thornladder.rig import moments
 from thornladder.rig.moments import Peer, Wire
-from thornladder.rig.standins import line
+from thornladder.rig.standins import instance_entry
 
 SILENCE, MOVED, AFTER_WAIT = 6.0, 4.0, 2.0  # seconds, of the terms
 REACHED = 6.0  # seconds after discovery had a change and could be reached, whatever is allowed besides
@@ -338,7 +338,7 @@
 
 
 def listed(backend: str, state: str) -> dict[str, Any]:
-    return line(backend, int(backend[1:]) + 1, "x", 0.0, state)
+    return instance_entry(backend, int(backend[1:]) + 1, "x", 0.0, state)
 
 
 class Backend(Peer):
