--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from thornladder.measures.rollout import REFUSED, SOUND, SOUND_ONE, every_death, simulated, walked
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import DRIVER, Load, Rolling
+from thornladder.rig.play import DRIVER, Load, RolloutSpec
 from thornladder.rollout import explore, virtual
 from thornladder.rollout.core import Driver, Phase, Record
 from thornladder.rollout.judge import ComparisonWindow, OddsRatioTest
@@ -249,11 +249,11 @@
                 "false_stops": 1e-6, "longest": 100.0}  # fmt: skip
 
 
-def run_on_processes(change: Rolling, faults: list[Fault], expected_phase: str) -> dict[str, Any]:
+def run_on_processes(change: RolloutSpec, faults: list[Fault], expected_phase: str) -> dict[str, Any]:
     """Runs three nodes with keepers until the driver ends, without a time limit."""
-    plan = play.Plan(seconds=300.0, nodes=3, membership=False, load=Load(rate=30.0), change=change,
-                     faults=faults, until_changed=True)  # fmt: skip
-    result = play.run(plan, 1)
+    plan = play.Scenario(seconds=300.0, nodes=3, membership=False, load=Load(rate=30.0), change=change,
+                         faults=faults, until_changed=True)  # fmt: skip
+    result = play.run_scenario(plan, 1)
     failed_checks = [check for check in result["checks"] if not check["holds"]]
     last_record = result["rollout"]["records"][-1]
     assert last_record[1] == expected_phase and not failed_checks, (last_record, failed_checks)
@@ -262,12 +262,14 @@
 
 def test_settings_reach_all_processes_despite_a_killed_and_partitioned_driver() -> None:
     cut = Fault(kind="cut", at=12.0, lasts=4.0, source=(DRIVER,), target=("n01", "n02"), both=True)
-    result = run_on_processes(Rolling(at=0.0, settings=SOUND, more=PLAN_OPTIONS, killed=[5.0]), [cut], "done")
+    result = run_on_processes(
+        RolloutSpec(at=0.0, settings=SOUND, more=PLAN_OPTIONS, killed=[5.0]), [cut], "done"
+    )
     assert {(node["line"], node["running"]) for node in result["nodes"].values()} == {(1, 1)}
     assert len(result["drivers"]) == 2
 
 
 def test_program_that_exits_at_start_never_serves() -> None:
-    result = run_on_processes(Rolling(at=0.0, flaw="start", more=PLAN_OPTIONS), [], "undone")
+    result = run_on_processes(RolloutSpec(at=0.0, flaw="start", more=PLAN_OPTIONS), [], "undone")
     assert {(node["line"], node["running"]) for node in result["nodes"].values()} == {(0, 0)}
     assert max(row[4] or 0 for row in result["records"]) == 1
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -32,7 +32,7 @@
 from thornladder.node.tasks import Tasks
 from thornladder.rig import moments
 from thornladder.rig.moments import MemoryStream, Peer
-from thornladder.rig.standins import line
+from thornladder.rig.standins import instance_entry
 
 # The operators' terms: a change that a watch missed takes effect so long after the watch fell silent or the
 # node was sent to another address, but not before so long after the hold time of the poll in flight.
@@ -381,7 +381,7 @@
 
 def list_entry(backend: str, state: str) -> dict[str, Any]:
     """A backend as the list service's JSON has it. `backend` is "s" and a number, which sets its port."""
-    return line(backend, int(backend[1:]) + 1, "x", 0.0, state)
+    return instance_entry(backend, int(backend[1:]) + 1, "x", 0.0, state)
 
 
 class BackendConnection(Peer):
--- a/thornladder/rig/virtual.py
+++ b/thornladder/rig/virtual.py
@@ -16,7 +16,7 @@
 
 from thornladder.membership.core import Action, ConnectionOutcome, ConnectionProbe, Core, Send, Sync
 from thornladder.membership.wire import Message, decode, encode
-from thornladder.rig.faults import Fault, Move, Process, Weather, moves
+from thornladder.rig.faults import Fault, LinkConditions, NodeAction, VirtualProcess, node_actions
 
 DATAGRAM_HEADER_BYTES = 28  # UDP and IP
 CONNECTION_OVERHEAD_BYTES = 240  # TCP segments that open and close a connection, approximately
@@ -49,7 +49,7 @@
     view_changed: bool
 
 
-class SimulatedMember(Process):
+class SimulatedMember(VirtualProcess):
     """A member by its name, over all processes that run under it, and what they have cost."""
 
     def __init__(self, name: str, address: str) -> None:
@@ -86,7 +86,7 @@
         self.rng = Random(seed)
         self.now = 0.0
         self.make, self.skew = make, skew or {}
-        self.network = Weather(faults)
+        self.network = LinkConditions(faults)
         self.members = {
             name: SimulatedMember(name, f"10.0.{k // 250}.{k % 250}:7946") for k, name in enumerate(names)
         }
@@ -100,8 +100,8 @@
             self.start(name)
         if joined:
             self.introduce()
-        for move in moves(faults, self.rng):
-            self.schedule(move.at, self._apply_move, move)
+        for node_action in node_actions(faults, self.rng):
+            self.schedule(node_action.at, self._apply_node_action, node_action)
 
     def introduce(self) -> None:
         """Gives every member the whole view, as after a long time without changes."""
@@ -134,7 +134,7 @@
         member.start_count += 1
         rng = Random(f"{name} {member.start_count} {self.rng.random()}")
         member.core = self.make(name, member.address, self.seeds, rng, self._local_time(member))
-        member.stopped, member.waiting = False, []
+        member.stopped, member.pending_calls = False, []
         self._schedule_wake(member)
 
     def _schedule_wake(self, member: SimulatedMember) -> None:
@@ -147,7 +147,7 @@
         if member.core is not core or number != member.wake_number:
             return
         if member.stopped:
-            member.waiting.append((self._wake, (member, core, number)))
+            member.pending_calls.append((self._wake, (member, core, number)))
             return
         if core.next_wake_at - self.skew.get(member.name, 0.0) <= self.now + 1e-9:
             self._step(member, core.wake, self._local_time(member))
@@ -174,8 +174,8 @@
         if member.core is None:
             return
         if member.stopped:
-            if len(member.waiting) < self.SOCKET_BUFFER_DATAGRAMS:
-                member.waiting.append((self._deliver, (member, source, data, by_connection)))
+            if len(member.pending_calls) < self.SOCKET_BUFFER_DATAGRAMS:
+                member.pending_calls.append((self._deliver, (member, source, data, by_connection)))
             return
         message = decode(data)
         if message is not None:
@@ -202,13 +202,13 @@
             self._sync(member, target)
 
     def _send(self, member: SimulatedMember, target: SimulatedMember, data: bytes) -> None:
-        for delay in self.network.passes(self.now, member.name, target.name, len(data), self.rng):
+        for delay in self.network.datagram_delays(self.now, member.name, target.name, len(data), self.rng):
             self.schedule(self.now + delay, self._deliver, target, member.address, data)
 
     def _round_trip_time(self, a: SimulatedMember, b: SimulatedMember, size: int) -> float | None:
         """Seconds to b and back over a connection; None if either direction is cut."""
-        outbound = self.network.carries(self.now, a.name, b.name, size, self.rng)
-        inbound = self.network.carries(self.now, b.name, a.name, size, self.rng)
+        outbound = self.network.stream_delay(self.now, a.name, b.name, size, self.rng)
+        inbound = self.network.stream_delay(self.now, b.name, a.name, size, self.rng)
         return None if outbound is None or inbound is None else outbound + inbound
 
     def _probe(
@@ -254,22 +254,22 @@
 
     # Faults of processes.
 
-    def _apply_move(self, move: Move) -> None:
-        member = self.members[move.node]
-        if move.what == "start":
-            self.start(move.node)
+    def _apply_node_action(self, node_action: NodeAction) -> None:
+        member = self.members[node_action.node]
+        if node_action.kind == "start":
+            self.start(node_action.node)
         elif member.core is None:
             return
-        elif move.what == "stop":
+        elif node_action.kind == "stop":
             member.stopped = True
-        elif move.what == "go" and member.stopped:
-            member.go()
-        elif move.what in ("kill", "end"):
-            if move.what == "end" and not member.stopped:
+        elif node_action.kind == "go" and member.stopped:
+            member.resume()
+        elif node_action.kind in ("kill", "end"):
+            if node_action.kind == "end" and not member.stopped:
                 member.core.leave(self._local_time(member))
                 for action in member.core.take_actions():
                     self._perform_action(member, action)
-            member.end()
+            member.terminate()
 
     # The true state.
 
--- a/thornladder/rollout/keeper.py
+++ b/thornladder/rollout/keeper.py
@@ -25,7 +25,7 @@
 
 from thornladder import toml
 from thornladder.asking import fetch
-from thornladder.children import ended_with_us
+from thornladder.children import signal_on_parent_exit
 from thornladder.fields import MalformedError
 from thornladder.membership.wire import split_address
 from thornladder.node.admin.calls import AdminRequest, AdminResponse, Endpoint, error_response
@@ -376,7 +376,7 @@
             inherited_fds = (self.listener.fileno(),)
             environment["EDGE_INHERITED_FD"] = str(inherited_fds[0])
         # If the keeper dies, the node gets SIGTERM and shuts down gracefully instead of running unsupervised.
-        set_parent_death_signal = ended_with_us(signal.SIGTERM)
+        set_parent_death_signal = signal_on_parent_exit(signal.SIGTERM)
         try:
             popen = subprocess.Popen(
                 command, env=environment, pass_fds=inherited_fds, preexec_fn=set_parent_death_signal
--- a/thornladder/shares/virtual.py
+++ b/thornladder/shares/virtual.py
@@ -12,14 +12,14 @@
 from random import Random
 from typing import Any
 
-from thornladder.rig.faults import Fault, Move, Process, Weather, moves
+from thornladder.rig.faults import Fault, LinkConditions, NodeAction, VirtualProcess, node_actions
 from thornladder.shares.core import MAX_CLOCK_DRIFT, Budget, Core
 from thornladder.shares.wire import Message
 
 Demand = Callable[[str, float], float]  # units per second that a node could use, by its name and the time
 
 
-class SimulatedNode(Process):
+class SimulatedNode(VirtualProcess):
     """A node with a clock of its own."""
 
     def __init__(self, name: str, clock_rate: float, clock_offset: float) -> None:
@@ -42,7 +42,7 @@
         """`make` creates the core of a process; without `demand` no unit is spent."""
         self.names, self.budget, self.demand, self.make = list(names), budget, demand, make
         self.rng = Random(seed)
-        self.network = Weather(faults)
+        self.network = LinkConditions(faults)
         max_rate_error = 0.49 * MAX_CLOCK_DRIFT  # of one clock, so that two differ by MAX_CLOCK_DRIFT at most
         self.nodes = {}
         for name in names:
@@ -61,7 +61,7 @@
         self.spends_by_second: dict[int, int] = {}
         for name in names:
             self.start(name)
-        for move in moves(faults, self.rng):
+        for move in node_actions(faults, self.rng):
             self.schedule(move.at, self._apply_move, move)
 
     def schedule(self, at: float, callback: Callable[..., None], *args: Any) -> None:
@@ -82,7 +82,7 @@
             return
         rng = Random(self.rng.getrandbits(64))
         node.core = self.make(name, self.names, [self.budget], rng, node.local_time(self.now))
-        node.stopped, node.waiting = False, []
+        node.stopped, node.pending_calls = False, []
         self._schedule_wake(node, node.core)
         if self.demand is not None:
             self.schedule(self.now + self.rng.random() * 0.1, self._arrive, node, node.core)
@@ -96,7 +96,7 @@
         if node.core is not core:
             return True
         if node.stopped:
-            node.waiting.append((callback, args))
+            node.pending_calls.append((callback, args))
         return node.stopped
 
     def _wake(self, node: SimulatedNode, core: Any) -> None:
@@ -117,7 +117,7 @@
                 self._deliver(node, core, action.message)
                 continue
             size = 60 + 4 * len(action.message.parts)
-            for delay in self.network.passes(self.now, node.name, action.target, size, self.rng):
+            for delay in self.network.datagram_delays(self.now, node.name, action.target, size, self.rng):
                 if target.core is not None:
                     self.schedule(self.now + delay, self._deliver, target, target.core, action.message)
         self._check_leased_units()
@@ -144,21 +144,21 @@
             self.now + (self.rng.expovariate(rate) if rate > 0.0 else 0.5), self._arrive, node, core
         )
 
-    def _apply_move(self, move: Move) -> None:
+    def _apply_move(self, move: NodeAction) -> None:
         node = self.nodes[move.node]
-        if move.what == "start":
+        if move.kind == "start":
             self.start(move.node)
         elif node.core is None:
             return
-        elif move.what == "stop":
+        elif move.kind == "stop":
             node.stopped = True
-        elif move.what == "go":
-            node.go()
+        elif move.kind == "go":
+            node.resume()
         else:
             in_use = node.core.local_budgets[0].leased_usage.read(node.local_time(self.now))
             if in_use:
                 self.dead_usage.append((self.now + self.budget.window, in_use))
-            node.end()
+            node.terminate()
 
     def utilization(self, since: int, until: int) -> float:
         """Fraction of the limit that was spent from second `since` up to second `until`."""
