--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""What all processes of a fleet send a cold backend together, on the real module (`rig/cold.py`)."""
+"""What all processes of a fleet together send to a backend in slow start, with the real decisions."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from thornladder.rig.cold import Ramp, run_ramp, tolerated_calls
 
 
-# Each broke the text before, in which the first attempt in a span passed whatever it cost: 1.17, 1.13, 1.06
-# and 1.00 times what is tolerated, as the sum of thirty to a hundred firsts.
+# Regression: the first attempt of a process in an overload window was admitted whatever its cost. The first
+# attempts of 30 to 100 processes added up to 1.17, 1.13, 1.06 and 1.00 times the tolerated calls.
 @pytest.mark.parametrize(
     "name, seeds",
     [
@@ -20,26 +20,28 @@
         ("30, two thirds lost, hot", (15,)), ("100, two thirds lost", (9,)),
     ],
 )  # fmt: skip
-def test_many_first_attempts_do_not_add_up_on_a_cold_backend(name: str, seeds: tuple[int, ...]) -> None:
+def test_first_attempts_of_many_processes_do_not_overload_a_cold_backend(
+    name: str, seeds: tuple[int, ...]
+) -> None:
     for seed in seeds:
         verdict = judge(seed, name)
         assert verdict.most <= 1.0 and verdict.mean > 0.1
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_the_sum_of_all_processes_is_borne_and_the_ramp_serves(name: str) -> None:
+def test_the_sum_of_all_processes_is_tolerated_and_the_cold_backend_serves(name: str) -> None:
     verdicts = [judge(seed, name) for seed in range(100, 103)]
-    assert max(each.most for each in verdicts) <= 1.0
-    assert min(each.mean for each in verdicts) > 0.02
+    assert max(verdict.most for verdict in verdicts) <= 1.0
+    assert min(verdict.mean for verdict in verdicts) > 0.02
 
 
-def test_a_fleet_without_chance_and_margin_is_caught() -> None:
-    whole = mock.patch.object(Node, "_admits_cold", lambda self, *given: True)
-    with whole:
+def test_a_fleet_that_admits_every_attempt_is_detected() -> None:
+    admit_all = mock.patch.object(Node, "_admits_cold", lambda self, *args: True)
+    with admit_all:
         assert max(judge(seed, "30, half lost").most for seed in (0, 4, 12, 18)) > 1.0
 
 
-def test_a_ramp_is_the_same_play_each_time_and_what_is_tolerated_follows_the_settings() -> None:
+def test_a_ramp_runs_the_same_each_time_and_the_allowed_calls_follow_the_settings() -> None:
     ramp = Ramp(3, processes=6, backends=6, warm_up=4.0)
     assert run_ramp(ramp).cold_attempt_times == run_ramp(ramp).cold_attempt_times
     assert tolerated_calls(9.0) == pytest.approx(17.0)
