--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from thornladder.decide import Node
-from thornladder.measures.cold import DAYS, judge
+from thornladder.measures.cold import SCENARIOS, run_scenario
 from thornladder.rig.cold import Ramp, run_ramp, tolerated_calls
 
 
@@ -22,21 +22,21 @@
 )  # fmt: skip
 def test_many_first_attempts_do_not_add_up_on_a_cold_backend(name: str, seeds: tuple[int, ...]) -> None:
     for seed in seeds:
-        verdict = judge(seed, name)
-        assert verdict.most <= 1.0 and verdict.mean > 0.1
+        verdict = run_scenario(seed, name)
+        assert verdict.peak_of_tolerated <= 1.0 and verdict.mean_of_limit > 0.1
 
 
-@pytest.mark.parametrize("name", DAYS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_the_sum_of_all_processes_is_borne_and_the_ramp_serves(name: str) -> None:
-    verdicts = [judge(seed, name) for seed in range(100, 103)]
-    assert max(each.most for each in verdicts) <= 1.0
-    assert min(each.mean for each in verdicts) > 0.02
+    verdicts = [run_scenario(seed, name) for seed in range(100, 103)]
+    assert max(each.peak_of_tolerated for each in verdicts) <= 1.0
+    assert min(each.mean_of_limit for each in verdicts) > 0.02
 
 
 def test_a_fleet_without_chance_and_margin_is_caught() -> None:
     whole = mock.patch.object(Node, "_admits_cold", lambda self, *given: True)
     with whole:
-        assert max(judge(seed, "30, half lost").most for seed in (0, 4, 12, 18)) > 1.0
+        assert max(run_scenario(seed, "30, half lost").peak_of_tolerated for seed in (0, 4, 12, 18)) > 1.0
 
 
 def test_a_ramp_is_the_same_play_each_time_and_what_is_tolerated_follows_the_settings() -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -13,7 +13,14 @@
 
 from thornladder.cli import app
 from thornladder.fields import MalformedError
-from thornladder.measures.rollout import REFUSED, SOUND, SOUND_ONE, every_death, simulated, walked
+from thornladder.measures.rollout import (
+    NO_REGRESSION,
+    REFUSED_SETTINGS,
+    SAFE_SETTINGS,
+    crash_driver_at_each_action,
+    random_walk,
+    simulate_rollout,
+)
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
 from thornladder.rig.play import DRIVER, Load, Rolling
@@ -122,7 +129,7 @@
 
 @pytest.mark.parametrize("regression", virtual.REGRESSIONS, ids=lambda regression: regression.name)
 def test_regression_is_rolled_back_before_half_of_the_fleet_has_it(regression: virtual.Regression) -> None:
-    outcome = simulated(12, 3, regression, "ours", False)
+    outcome = simulate_rollout(12, 3, regression, "ours", False)
     assert (
         outcome.phase is Phase.ROLLED_BACK and outcome.max_new_nodes < 6 and outcome.remaining_new_nodes == 0
     ), outcome
@@ -130,13 +137,13 @@
 
 def test_incidents_on_both_sides_do_not_stop_a_sound_change() -> None:
     """A judge that compares the mean with a threshold stops some of these changes."""
-    phases = {judge: [simulated(12, seed, SOUND_ONE, judge, True).phase for seed in range(12)]
+    phases = {judge: [simulate_rollout(12, seed, NO_REGRESSION, judge, True).phase for seed in range(12)]
               for judge in ("ours", "threshold")}  # fmt: skip
     assert phases["ours"] == [Phase.DONE] * 12 and Phase.ROLLED_BACK in phases["threshold"]
 
 
 def test_driver_may_crash_before_any_of_its_actions() -> None:
-    sound, refused = every_death(SOUND_ONE), every_death(REFUSED)
+    sound, refused = crash_driver_at_each_action(NO_REGRESSION), crash_driver_at_each_action(REFUSED_SETTINGS)
     assert set(sound) == {("done", 1)} and len(sound) > 15
     assert set(refused) == {("undone", 1)} and len(refused) > 5
 
@@ -155,19 +162,19 @@
 
 
 def test_driver_without_enough_reachable_nodes_does_not_start() -> None:
-    fleet = virtual.Fleet(4, 1, SOUND_ONE, rate=10.0)
+    fleet = virtual.Fleet(4, 1, NO_REGRESSION, rate=10.0)
     fleet.unreachable = {"n002", "n003"}
     driver, log, new_nodes = run_short_rollout(fleet, 60)
     assert "sees 2 of 4" in driver.waiting_reason and not any(new_nodes) and driver.document is None
 
 
 def test_stage_without_traffic_waits_and_then_holds() -> None:
-    driver, log, new_nodes = run_short_rollout(virtual.Fleet(4, 1, SOUND_ONE, rate=0.001), 200)
+    driver, log, new_nodes = run_short_rollout(virtual.Fleet(4, 1, NO_REGRESSION, rate=0.001), 200)
     assert driver.phase is Phase.HOLD and "saw too little" in driver.message and max(new_nodes) == 1
 
 
 def test_operator_stops_resumes_and_rolls_back() -> None:
-    fleet = virtual.Fleet(4, 1, SOUND_ONE, rate=10.0)
+    fleet = virtual.Fleet(4, 1, NO_REGRESSION, rate=10.0)
     driver, log, _ = run_short_rollout(fleet, 8, at_stop="hold")
     fleet.carry_out(driver.stop(), log)
     assert driver.finished and 0 < sum(driver.document.lines.values()) < 4
@@ -186,7 +193,7 @@
 
 
 def test_node_that_was_unreachable_catches_up() -> None:
-    fleet = virtual.Fleet(8, 1, SOUND_ONE, rate=10.0)
+    fleet = virtual.Fleet(8, 1, NO_REGRESSION, rate=10.0)
     fleet.unreachable = {"n007"}
     driver, log, _ = run_short_rollout(fleet, 180)
     assert driver.phase is Phase.DONE and fleet.nodes["n007"].running == 0
@@ -198,7 +205,7 @@
 
 
 def test_incompatible_protocol_versions_are_refused_before_any_change() -> None:
-    fleet = virtual.Fleet(4, 1, SOUND_ONE)
+    fleet = virtual.Fleet(4, 1, NO_REGRESSION)
     plan = virtual.make_plan(4)
     change = msgspec.structs.replace(plan.change, settings={}, program=("p",), speaks={"members": 2})
     plan = msgspec.structs.replace(plan, change=change)
@@ -216,7 +223,7 @@
 def test_exploration_finds_planted_bugs_and_no_others() -> None:
     assert explore.explore(30, 3000).breach == ""
     assert "no driver has written" in explore.explore(30, 10_000, explore.ActsFirst).breach
-    assert [violation for violation in map(walked, range(40)) if violation] == []
+    assert [violation for violation in map(random_walk, range(40)) if violation] == []
 
 
 def test_damaged_log_is_refused(tmp_path: Path) -> None:
@@ -262,7 +269,9 @@
 
 def test_settings_reach_all_processes_despite_a_killed_and_partitioned_driver() -> None:
     cut = Fault(kind="cut", at=12.0, lasts=4.0, source=(DRIVER,), target=("n01", "n02"), both=True)
-    result = run_on_processes(Rolling(at=0.0, settings=SOUND, more=PLAN_OPTIONS, killed=[5.0]), [cut], "done")
+    result = run_on_processes(
+        Rolling(at=0.0, settings=SAFE_SETTINGS, more=PLAN_OPTIONS, killed=[5.0]), [cut], "done"
+    )
     assert {(node["line"], node["running"]) for node in result["nodes"].values()} == {(1, 1)}
     assert len(result["drivers"]) == 2
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from thornladder.measures.schedules import draw
+from thornladder.measures.schedules import draw_schedule
 from thornladder.rig.faults import Fault
 from thornladder.shares import explore
 from thornladder.shares.core import (
@@ -63,11 +63,11 @@
 def simulate_random_faults(count: int, seed: int) -> Simulation:
     """Runs `count` nodes under a random schedule of faults, with demand for twice the limit."""
     names = [f"n{k:02}" for k in range(count)]
-    schedule = draw(names, seed)
+    schedule = draw_schedule(names, seed)
     limit, window = (3, 40, 400)[seed // 3 % 3], (0.5, 1.0, 5.0)[seed % 3]
     simulation = Simulation(names, Budget("x", limit, window), schedule.faults, seed,
                             demand=lambda name, now: 2.0 * limit / window / count)  # fmt: skip
-    simulation.run(schedule.healed + 10.0)
+    simulation.run(schedule.healed_at + 10.0)
     return simulation
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from thornladder.measures.told import PLANTED, draw, judge
+from thornladder.measures.told import PLANTED_FAULTS, check_schedule, draw_schedule
 from thornladder.node.messages import FinalOutcome
 from thornladder.rig.told import Change, Reference, Schedule, Silence, run_schedule
 
@@ -86,11 +86,11 @@
 def test_no_push_to_what_counts_as_leaving_in_rows_of_failing_calls(seed: int) -> None:
     """8, 28, 121, 149: lists are pushed, and a process that starts while discovery is down took a refusal for
     a sign that nothing had changed before its start either."""
-    assert judge(seed, failing=True).first == ""
+    assert check_schedule(seed, failing=True).first == ""
 
 
 def test_a_refusal_that_passes_for_a_sign_of_life_is_caught() -> None:
-    assert judge(5, "a refusal is no silence", failing=True).breaches
+    assert check_schedule(5, "a refusal is no silence", failing=True).breaches
 
 
 @pytest.mark.parametrize("seed", [*range(30), 81, 188, 272, 374, 450, 456, 565, 569, 689, 1212, 1977])
@@ -102,7 +102,7 @@
     1212, 1977: lists are pushed, and odd answers passed for signs that nothing was new.
     456, 569: lists are pushed, and discovery went away in the moment between two calls.
     """
-    assert judge(seed).first == ""
+    assert check_schedule(seed).first == ""
 
 
 @pytest.mark.parametrize(
@@ -114,11 +114,11 @@
     ],
 )  # fmt: skip
 def test_planted_faults_are_caught(planted: str, seed: int) -> None:
-    assert planted in PLANTED and judge(seed, planted).breaches
+    assert planted in PLANTED_FAULTS and check_schedule(seed, planted).breaches
 
 
 def test_a_schedule_is_the_same_play_each_time() -> None:
-    assert draw(3) == draw(3) and judge(3) == judge(3)
+    assert draw_schedule(3) == draw_schedule(3) and check_schedule(3) == check_schedule(3)
 
 
 @pytest.mark.parametrize(
--- a/thornladder/measures/budgets.py
+++ b/thornladder/measures/budgets.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from thornladder.measures.points import Points
-from thornladder.measures.schedules import draw
+from thornladder.measures.schedules import draw_schedule
 from thornladder.rig.faults import Fault
 from thornladder.shares import explore
 from thornladder.shares.core import Budget, Core
@@ -29,11 +29,11 @@
 def scheduled(count: int, seed: int) -> Scheduled:
     """A schedule of overlapping faults, demand twice the whole."""
     names = [f"n{k:03}" for k in range(count)]
-    schedule = draw(names, seed)
+    schedule = draw_schedule(names, seed)
     budget = Budget("x", (3, 40, 400)[seed // 3 % 3], (0.5, 1.0, 5.0)[seed % 3])
     world = Simulation(names, budget, schedule.faults, seed,
                        demand=lambda name, now: 2.0 * budget.limit / budget.window / count)  # fmt: skip
-    world.run(schedule.healed + 10.0)
+    world.run(schedule.healed_at + 10.0)
     return Scheduled(next(iter(world.breaches), ""), world.max_in_window / budget.limit)
 
 
--- a/thornladder/measures/cold.py
+++ b/thornladder/measures/cold.py
@@ -19,7 +19,7 @@
 
 USUAL: dict[str, Any] = {"backends": 12, "warm_up": 8.0}
 LOST: dict[str, Any] = {**USUAL, "lost": 6, "load": 0.9, "work": 0.08, "share": 0.13}
-DAYS: dict[str, dict[str, Any]] = {
+SCENARIOS: dict[str, dict[str, Any]] = {
     "one process": {**USUAL, "processes": 1},
     "6": {**USUAL, "processes": 6},
     "6, half lost": {**LOST, "processes": 6},
@@ -44,14 +44,14 @@
 
 class Verdict(NamedTuple):
     seed: int
-    used: float  # the most calls in a span, as a part of N
-    most: float  # the same as a part of what is tolerated
-    mean: float  # calls in the ramp as a part of what N allows over it
+    peak_of_limit: float  # the most calls in a span, as a part of N
+    peak_of_tolerated: float  # the same as a part of what is tolerated
+    mean_of_limit: float  # calls in the ramp as a part of what N allows over it
     rejected: float
 
 
-def judge(seed: int, name: str) -> Verdict:
-    fleet = run_ramp(Ramp(seed, **DAYS[name]))
+def run_scenario(seed: int, name: str) -> Verdict:
+    fleet = run_ramp(Ramp(seed, **SCENARIOS[name]))
     return Verdict(
         seed,
         *fleet.peak_window(),
@@ -66,14 +66,14 @@
     count = 200 if parser.parse_args(arguments).full else 20
     points = Points("cold")
     with ProcessPoolExecutor() as pool:
-        for name in DAYS:
-            verdicts = list(pool.map(partial(judge, name=name), range(count), chunksize=2))
-            broken = [verdict.seed for verdict in verdicts if verdict.most > 1.0]
+        for name in SCENARIOS:
+            verdicts = list(pool.map(partial(run_scenario, name=name), range(count), chunksize=2))
+            broken = [verdict.seed for verdict in verdicts if verdict.peak_of_tolerated > 1.0]
             points.at_most(
                 f"ramps broken, {name}", len(broken), 0, f"0-{count - 1}", first=broken[:3],
-                most_of_tolerated=round(max(each.most for each in verdicts), 2),
-                most_of_n=round(max(each.used for each in verdicts), 2),
-                mean_of_n=round(sum(each.mean for each in verdicts) / count, 3),
+                most_of_tolerated=round(max(each.peak_of_tolerated for each in verdicts), 2),
+                most_of_n=round(max(each.peak_of_limit for each in verdicts), 2),
+                mean_of_n=round(sum(each.mean_of_limit for each in verdicts) / count, 3),
                 rejected=round(sum(each.rejected for each in verdicts) / count, 4),
             )  # fmt: skip
     return points.close()
--- a/thornladder/measures/membership.py
+++ b/thornladder/measures/membership.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from thornladder.measures.points import Points
-from thornladder.measures.schedules import Schedule, draw
+from thornladder.measures.schedules import Schedule, draw_schedule
 from thornladder.membership import baselines
 from thornladder.membership.explore import explore
 from thornladder.rig import play
@@ -157,10 +157,10 @@
 def storm(size: int, seed: int, make: str = "ours") -> dict[str, Any]:
     """One schedule of overlapping faults; what came of it."""
     names = [f"m{number:03}" for number in range(size)]
-    schedule: Schedule = draw(names, seed)
+    schedule: Schedule = draw_schedule(names, seed)
     world = Simulation(names, schedule.faults, seed, make={"ours": ours, "heartbeats": baselines.heartbeats,
                                                      "swim": baselines.swim}[make])  # fmt: skip
-    world.run(schedule.healed)
+    world.run(schedule.healed_at)
     merged = world.run_until_converged(10.0)
     wrong = [told for told in world.changes
              if told.view_changed and told.state in OUT
@@ -249,7 +249,7 @@
     for make in ("heartbeats", "swim"):
         done = list(pool.map(storm, [16] * 200, range(200), [make] * 200, chunksize=10))
         same = sum(each["wrong"] for each in done)
-        points.told(f"baseline {make}, 16 members, 200 schedules: wrong removals", same, "0-199")
+        points.record(f"baseline {make}, 16 members, 200 schedules: wrong removals", same, "0-199")
     for kind, limit in (("killed", 2.0), ("silent", 10.0)):
         for size in (10, 100, 400):
             runs = 100 if size < 400 else 20
--- a/thornladder/measures/points.py
+++ b/thornladder/measures/points.py
@@ -19,7 +19,7 @@
     def at_least(self, point: str, figure: float | None, limit: float, seeds: Any, **more: Any) -> None:
         self._add(point, figure, limit, figure is not None and figure >= limit, seeds, more)
 
-    def told(self, point: str, figure: Any, seeds: Any, **more: Any) -> None:
+    def record(self, point: str, figure: Any, seeds: Any, **more: Any) -> None:
         """A figure without a limit."""
         self._add(point, figure, None, True, seeds, more)
 
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -26,8 +26,8 @@
 from thornladder.rollout.judge import Judge
 
 STATED = 0.01  # chance of a false stop
-SOUND_ONE = virtual.Regression()
-REFUSED = virtual.Regression("refused", refused="it did not take the settings")
+NO_REGRESSION = virtual.Regression()
+REFUSED_SETTINGS = virtual.Regression("refused", refused="it did not take the settings")
 JUDGES: dict[str, type[Judge]] = {
     "ours": Judge,
     "threshold": virtual.ThresholdJudge,
@@ -38,14 +38,16 @@
 # In virtual time.
 
 
-def simulated(size: int, seed: int, harm: virtual.Regression, judge: str, trouble: bool) -> virtual.Outcome:
+def simulate_rollout(
+    size: int, seed: int, harm: virtual.Regression, judge: str, trouble: bool
+) -> virtual.Outcome:
     fleet = virtual.Fleet(size, seed, harm, virtual.draw_incidents(seed) if trouble else ())
     heaviest = max(fleet.nodes.values(), key=lambda node: node.rate).name
     plan = virtual.make_plan(size, first=(heaviest,))
     return virtual.simulate(fleet, plan, JUDGES[judge](plan.worse, plan.false_stops))[0]
 
 
-def killed_at(place: int, harm: virtual.Regression = SOUND_ONE, seed: int = 1) -> tuple[bool, str, int]:
+def killed_at(place: int, harm: virtual.Regression = NO_REGRESSION, seed: int = 1) -> tuple[bool, str, int]:
     """The driver dies before its act number `place`, and one goes on from its log. Whether it came so far."""
     fleet = virtual.Fleet(4, seed, harm, rate=10.0)
     plan = virtual.make_plan(4, before=3.0, watch=3.0, least=5, least_each=0, stages=(1, 0.5, 1.0))
@@ -67,7 +69,7 @@
     return died, driver.phase.value, len(lines)
 
 
-def every_death(harm: virtual.Regression) -> list[tuple[str, int]]:
+def crash_driver_at_each_action(harm: virtual.Regression) -> list[tuple[str, int]]:
     """How each change ended whose driver died once, at each place where it can."""
     ended = []
     for place in range(1000):
@@ -82,7 +84,7 @@
     seeds = range(20 if full else 5)
     for harm in virtual.REGRESSIONS:
         jobs = [(12, seed, harm, "ours", False) for seed in seeds]
-        done = list(pool.map(simulated, *zip(*jobs, strict=True)))
+        done = list(pool.map(simulate_rollout, *zip(*jobs, strict=True)))
         caught = [each for each in done if each.phase is Phase.ROLLED_BACK and not each.remaining_new_nodes]
         points.at_least(f"12 nodes, {harm.name}: stopped and undone, of {len(done)}", len(caught), len(done),
                         f"0-{len(done) - 1}", stages=sorted({each.stage for each in done}),
@@ -93,22 +95,22 @@
         points.at_most(name, most, 5, f"0-{len(done) - 1}")
         for judge in ("threshold", "blind"):
             jobs = [(12, seed, harm, judge, False) for seed in seeds]
-            other = list(pool.map(simulated, *zip(*jobs, strict=True)))
+            other = list(pool.map(simulate_rollout, *zip(*jobs, strict=True)))
             missed = sum(each.phase is Phase.DONE for each in other)
-            points.told(f"baseline {judge}, {harm.name}: went through, of {len(other)}", missed,
+            points.record(f"baseline {judge}, {harm.name}: went through, of {len(other)}", missed,
                         f"0-{len(other) - 1}",
                         harmed=statistics.median(each.harmed_invocations for each in other))  # fmt: skip
     for judge in JUDGES:
         jobs = [(12, seed, virtual.Regression(), judge, True) for seed in range(200)]
-        done = list(pool.map(simulated, *zip(*jobs, strict=True), chunksize=5))
+        done = list(pool.map(simulate_rollout, *zip(*jobs, strict=True), chunksize=5))
         stopped = sum(each.phase is not Phase.DONE for each in done)
         name = f"sound changes under troubles, {judge}: stopped, of 200"
         if judge == "ours":
             points.at_most(name, stopped, 200 * STATED, "0-199")
         else:
-            points.told(name, stopped, "0-199")
-    for harm, wanted in ((SOUND_ONE, "done"), (REFUSED, "undone")):
-        ended = every_death(harm)
+            points.record(name, stopped, "0-199")
+    for harm, wanted in ((NO_REGRESSION, "done"), (REFUSED_SETTINGS, "undone")):
+        ended = crash_driver_at_each_action(harm)
         wrong = [place for place, end in enumerate(ended) if end != (wanted, 1)]
         points.at_most(f"the driver killed at each of its acts, {harm.name}: not {wanted}, or nodes unlike",
                        len(wrong), 0, [1], places=wrong[:5], acts=len(ended))  # fmt: skip
@@ -117,7 +119,7 @@
                    states=result.states, depth_finished=result.depth, seconds=round(result.seconds, 1),
                    breach=result.breach, steps=list(result.steps))  # fmt: skip
     walks = 2000 if full else 400
-    stuck = [each for each in pool.map(walked, range(walks), chunksize=20) if each]
+    stuck = [each for each in pool.map(random_walk, range(walks), chunksize=20) if each]
     points.at_most(f"{walks} walks of two drivers, then health: fleets in no stated state", len(stuck), 0,
                    f"0-{walks - 1}", first=stuck[:2])  # fmt: skip
     for planted in (explore.ActsFirst, explore.AnyGrant):
@@ -126,7 +128,7 @@
                         states=found.states, breach=found.breach)  # fmt: skip
 
 
-def walked(seed: int) -> str:
+def random_walk(seed: int) -> str:
     """Two drivers and three nodes through a drawn course of deaths and losses, then all is well."""
     chance, spot = Random(seed), explore.initial_state(Driver)
     for _ in range(chance.randint(5, 60)):
@@ -178,7 +180,7 @@
 NODES = 12
 MORE = {"before": 15.0, "watch": 15.0, "least": 100, "least_each": 30, "out": 2}
 AWAY = (12.0, 50.0)  # seconds of the play: from when, for how long
-SOUND = {"PolicyLimits": {"MaxRetryAfter": 400000}}
+SAFE_SETTINGS = {"PolicyLimits": {"MaxRetryAfter": 400000}}
 FLAWS = ("start", "tenth", "after:8", "slow:pay:0.03", "nack:0.1", "leak:2000000")
 
 
@@ -201,18 +203,19 @@
                 target=tuple(f"n{k:02}" for k in range(nodes // 2)))  # fmt: skip
     made = {
         "no change": the_play("", None, [], 60.0, nodes),
-        "settings": the_play("", rolled(settings=SOUND), [], long, nodes),
+        "settings": the_play("", rolled(settings=SAFE_SETTINGS), [], long, nodes),
         "program": the_play("", rolled(flaw="none"), [], long, nodes),
-        "driver killed": the_play("", rolled(settings=SOUND, killed=[6.0, 21.0, 30.0]), [], long, nodes),
-        "driver cut off": the_play("", rolled(settings=SOUND), [cut], long, nodes),
-        "node killed": the_play("", rolled(settings=SOUND), [Fault(kind="kill", at=20.0, nodes=("n00",))],
-                                long, nodes),
-        "node paused": the_play("", rolled(settings=SOUND),
-                                [Fault(kind="pause", at=22.0, lasts=8.0, nodes=("n00",))], long, nodes),
-        "released": the_play("released", rolled(settings=SOUND), [], long, nodes),
-        "two drivers": the_play("", rolled(settings=SOUND, rivals=1), [], long, nodes),
-        "a keeper away": the_play("", rolled(settings=SOUND, keepers_paused=[("n01", *AWAY)]), [], long,
+        "driver killed": the_play("", rolled(settings=SAFE_SETTINGS, killed=[6.0, 21.0, 30.0]), [], long,
                                   nodes),
+        "driver cut off": the_play("", rolled(settings=SAFE_SETTINGS), [cut], long, nodes),
+        "node killed": the_play("", rolled(settings=SAFE_SETTINGS),
+                                [Fault(kind="kill", at=20.0, nodes=("n00",))], long, nodes),
+        "node paused": the_play("", rolled(settings=SAFE_SETTINGS),
+                                [Fault(kind="pause", at=22.0, lasts=8.0, nodes=("n00",))], long, nodes),
+        "released": the_play("released", rolled(settings=SAFE_SETTINGS), [], long, nodes),
+        "two drivers": the_play("", rolled(settings=SAFE_SETTINGS, rivals=1), [], long, nodes),
+        "a keeper away": the_play("", rolled(settings=SAFE_SETTINGS, keepers_paused=[("n01", *AWAY)]), [],
+                                  long, nodes),
         "settings refused": the_play("", rolled(settings={"PolicyLimits": {"MaxAttempts": 0}}), [], 60.0,
                                      nodes),
     }  # fmt: skip
--- a/thornladder/measures/schedules.py
+++ b/thornladder/measures/schedules.py
@@ -23,13 +23,13 @@
 class Schedule(NamedTuple):
     faults: list[Fault]
     excuses: list[Excuse]
-    healed: float
+    healed_at: float
 
     def excused(self, name: str, at: float) -> bool:
         return any(each.name == name and each.since <= at <= each.until for each in self.excuses)
 
 
-def draw(names: Sequence[str], seed: int, seconds: float = 60.0, most: int = 6) -> Schedule:
+def draw_schedule(names: Sequence[str], seed: int, seconds: float = 60.0, most: int = 6) -> Schedule:
     """Two to `most` faults that overlap as they fall, all healed after `seconds`."""
     chance = Random(seed)
     faults: list[Fault] = []
@@ -83,5 +83,5 @@
             back = at + chance.uniform(0.1, 8.0)
             faults += [Fault(kind="kill", at=at, nodes=who), Fault(kind="start", at=back, nodes=who)]
             excuse(who, at, back)
-    healed = max(max(fault.until for fault in faults), seconds)
-    return Schedule(faults, excuses, healed)
+    healed_at = max(max(fault.until for fault in faults), seconds)
+    return Schedule(faults, excuses, healed_at)
--- a/thornladder/measures/sizes.py
+++ b/thornladder/measures/sizes.py
@@ -88,9 +88,9 @@
     costs = {size: cost(size) for size in SIZES}
     least = costs[SIZES[0]]
     for size, each in costs.items():
-        points.told(f"{size}: invocation, times {SIZES[0]}", each.invocation_us / least.invocation_us, 1,
+        points.record(f"{size}: invocation, times {SIZES[0]}", each.invocation_us / least.invocation_us, 1,
                     microseconds=round(each.invocation_us, 1))  # fmt: skip
-        points.told(f"{size}: memory, kB", each.memory_kb, 1)
+        points.record(f"{size}: memory, kB", each.memory_kb, 1)
         # With a tenth of a core, as the issue has it; a drain is taken in well before it binds.
         points.at_most(f"{size}: whole list with a tenth of a core, s", 10.0 * each.list_s, STALL, 1)
         points.at_most(f"{size}: a quarter drained with a tenth of a core, s", 10.0 * each.drain_s, STALL, 1)
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -33,7 +33,7 @@
 SPOILT = (b"", b"{", b"[]", b'{"generation":"x"}', b'{"generation":9,"instances":[{}]}', b"\xff" * 3000)
 
 
-def draw(seed: int) -> Schedule:
+def draw_schedule(seed: int) -> Schedule:
     """One to three faults, with drains before, in and after each; all is drawn from the seed."""
     rng = Random(seed)
     backends = rng.choice((8, 12, 12, 40, 300))
@@ -98,7 +98,7 @@
 ROWS = ("503", "late 503", "reset", "mute", "away", "spoilt", "move", "crowd")
 
 
-def draw_failing(seed: int) -> Schedule:
+def draw_failing_schedule(seed: int) -> Schedule:
     """Calls that fail in whatever way, in rows of up to 14 s, from the start or later; drains amid them."""
     rng = Random(seed)
     pushed = rng.random() < 0.25
@@ -152,10 +152,10 @@
     nacked: int
 
 
-def judge(seed: int, planted: str = "", failing: bool = False) -> Verdict:
+def check_schedule(seed: int, planted: str = "", failing: bool = False) -> Verdict:
     """Plays one schedule, with a fault in the node if one is named; `failing`: one of calls that fail."""
-    with PLANTED[planted]():
-        world = run_schedule(draw_failing(seed) if failing else draw(seed))
+    with PLANTED_FAULTS[planted]():
+        world = run_schedule(draw_failing_schedule(seed) if failing else draw_schedule(seed))
     found, answers = world.reference.breaches(), world.outcomes
     first = f"{found[0][1]} at {found[0][0]:.3f}, {found[0][2]:.3f} s after told" if found else ""
     return Verdict(seed, len(found), first, len(world.reference.pushes),
@@ -232,7 +232,7 @@
     return mock.patch.object(Node, "on_list", on_list)
 
 
-PLANTED: dict[str, Callable[[], Any]] = {
+PLANTED_FAULTS: dict[str, Callable[[], Any]] = {
     "": nullcontext,
     "patience a second longer": _more_patience,
     "looked at on deciding only": _on_deciding_only,
@@ -250,7 +250,9 @@
 
 def run(count: int, planted: str, failing: bool = False, workers: int | None = None) -> list[Verdict]:
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(partial(judge, planted=planted, failing=failing), range(count), chunksize=4))
+        return list(
+            pool.map(partial(check_schedule, planted=planted, failing=failing), range(count), chunksize=4)
+        )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -259,7 +261,7 @@
     given = parser.parse_args(arguments)
     count, fewer = (2000, 400) if given.full else (300, 100)
     points = Points("told")
-    for name, failing in [(name, False) for name in PLANTED] + [(name, True) for name in FAILING]:
+    for name, failing in [(name, False) for name in PLANTED_FAULTS] + [(name, True) for name in FAILING]:
         seeds = fewer if name and name not in SERVICE else count
         verdicts = run(seeds, name, failing)
         broken = [verdict for verdict in verdicts if verdict.breaches]
@@ -274,7 +276,7 @@
         if not name:
             points.at_most(point, len(broken), 0, seeds_played, **more)
         elif name in SERVICE:
-            points.told(point, len(broken), seeds_played, **more)
+            points.record(point, len(broken), seeds_played, **more)
         else:
             points.at_least(point, len(broken), 1, seeds_played, **more)
     return points.close()
