--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -7,7 +7,7 @@
 import pytest
 
 from thornladder.decide import Node
-from thornladder.measures.cold import DAYS, judge
+from thornladder.measures.cold import SCENARIOS, run_scenario
 from thornladder.rig.cold import Ramp, run_ramp, tolerated_calls
 
 
@@ -24,21 +24,21 @@
     name: str, seeds: tuple[int, ...]
 ) -> None:
     for seed in seeds:
-        verdict = judge(seed, name)
-        assert verdict.most <= 1.0 and verdict.mean > 0.1
+        verdict = run_scenario(seed, name)
+        assert verdict.peak_of_tolerated <= 1.0 and verdict.mean_of_limit > 0.1
 
 
-@pytest.mark.parametrize("name", DAYS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_the_sum_of_all_processes_is_tolerated_and_the_cold_backend_serves(name: str) -> None:
-    verdicts = [judge(seed, name) for seed in range(100, 103)]
-    assert max(verdict.most for verdict in verdicts) <= 1.0
-    assert min(verdict.mean for verdict in verdicts) > 0.02
+    verdicts = [run_scenario(seed, name) for seed in range(100, 103)]
+    assert max(verdict.peak_of_tolerated for verdict in verdicts) <= 1.0
+    assert min(verdict.mean_of_limit for verdict in verdicts) > 0.02
 
 
 def test_a_fleet_that_admits_every_attempt_is_detected() -> None:
     admit_all = mock.patch.object(Node, "_admits_cold", lambda self, *args: True)
     with admit_all:
-        assert max(judge(seed, "30, half lost").most for seed in (0, 4, 12, 18)) > 1.0
+        assert max(run_scenario(seed, "30, half lost").peak_of_tolerated for seed in (0, 4, 12, 18)) > 1.0
 
 
 def test_a_ramp_runs_the_same_each_time_and_the_allowed_calls_follow_the_settings() -> None:
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from thornladder.measures.told import PLANTED, draw, judge
+from thornladder.measures.told import PLANTED_FAULTS, check_schedule, draw_schedule
 from thornladder.node.messages import FinalOutcome
 from thornladder.rig.told import Change, ReferenceModel, Schedule, Silence, run_schedule
 
@@ -100,11 +100,11 @@
 def test_no_push_to_a_leaving_backend_in_series_of_failed_polls(seed: int) -> None:
     """8, 28, 121, 149: with a pushed list, a process that started while discovery was down took a refusal as
     proof that nothing had changed before its start."""
-    assert judge(seed, failing=True).first == ""
+    assert check_schedule(seed, failing=True).first == ""
 
 
 def test_a_refusal_that_counts_as_an_answer_is_detected() -> None:
-    assert judge(5, "a refusal is no silence", failing=True).breaches
+    assert check_schedule(5, "a refusal is no silence", failing=True).breaches
 
 
 @pytest.mark.parametrize("seed", [*range(30), 81, 188, 272, 374, 450, 456, 565, 569, 689, 1212, 1977])
@@ -116,7 +116,7 @@
     a silence. 1212, 1977: with a pushed list, invalid responses counted as proof that nothing had changed.
     456, 569: with a pushed list, discovery went down between two polls.
     """
-    assert judge(seed).first == ""
+    assert check_schedule(seed).first == ""
 
 
 @pytest.mark.parametrize(
@@ -128,11 +128,11 @@
     ],
 )  # fmt: skip
 def test_injected_faults_are_detected(fault: str, seed: int) -> None:
-    assert fault in PLANTED and judge(seed, fault).breaches
+    assert fault in PLANTED_FAULTS and check_schedule(seed, fault).breaches
 
 
 def test_a_schedule_runs_the_same_each_time() -> None:
-    assert draw(3) == draw(3) and judge(3) == judge(3)
+    assert draw_schedule(3) == draw_schedule(3) and check_schedule(3) == check_schedule(3)
 
 
 @pytest.mark.parametrize(
--- a/thornladder/rig/cold.py
+++ b/thornladder/rig/cold.py
@@ -219,17 +219,17 @@
     def peak_window(self) -> tuple[float, float]:
         """The most calls in any overload window, as a part of N and as a part of the tolerated calls."""
         window: deque[float] = deque()
-        max_of_allowed = max_of_tolerated = 0.0
+        peak_of_limit = peak_of_tolerated = 0.0
         for at in self.cold_attempt_times:
             window.append(at)
             while window[0] <= at - self.ramp.overload_window:
                 window.popleft()
             calls = self.allowed_calls(window[0])  # N as of the oldest call, its strictest value
-            max_of_allowed, max_of_tolerated = (
-                max(max_of_allowed, len(window) / calls),
-                max(max_of_tolerated, len(window) / tolerated_calls(calls)),
+            peak_of_limit, peak_of_tolerated = (
+                max(peak_of_limit, len(window) / calls),
+                max(peak_of_tolerated, len(window) / tolerated_calls(calls)),
             )
-        return max_of_allowed, max_of_tolerated
+        return peak_of_limit, peak_of_tolerated
 
     def mean_utilization(self) -> float:
         """Calls during the ramp, as a part of what N allows over it."""
--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -34,12 +34,12 @@
 from thornladder.rig.moments import MemoryStream, Peer
 from thornladder.rig.standins import instance_entry
 
-# The operators' terms: a change that a watch missed takes effect so long after the watch fell silent or the
-# node was sent to another address, but not before so long after the hold time of the poll in flight.
+# The operators' terms: when a change takes effect at the latest that a watch missed. The times count from the
+# silence of the watch, from the move to another address, and from the end of the hold time of a silent poll.
 SILENCE_LIMIT_SECONDS, MOVE_LIMIT_SECONDS, HOLD_LIMIT_SECONDS = 6.0, 4.0, 2.0
 REACHABLE_LIMIT_SECONDS = 6.0  # after the list service had the change and was reachable, whatever else holds
 SOCKET_SLACK_SECONDS = 0.05  # added to each limit on sockets
-SAME_WATCH_SECONDS = 0.2  # a poll so soon after an answer continues the watch
+SAME_WATCH_SECONDS = 0.2  # a poll within this time of the last answer continues the same watch
 QUEUE_TIMEOUT_SECONDS = 2.0  # the list service refuses a poll that would wait longer than this in its queue
 # The setting MustAskIn, and the multiple of it that a node has after a failed poll.
 MUST_ASK_SECONDS, FAILED_POLL_FACTOR = 10.0, 4.0
@@ -195,6 +195,7 @@
         self.poll_in_flight = False
 
     def data_received(self, data: bytes) -> None:
+        """Starts to handle a poll; each arrives as one write."""
         target = data.split(b" ", 2)[1].decode()
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         self.service.task_group.start_soon(
@@ -207,6 +208,7 @@
 
     @property
     def mute(self) -> bool:
+        """Whether the service writes nothing more on this connection."""
         return self.bytes_until_mute <= 0
 
 
@@ -227,6 +229,7 @@
         return anyio.current_time()
 
     def is_down(self) -> bool:
+        """Whether the schedule has an outage now."""
         return any(start <= self.now < end for start, end in self.schedule.away)
 
     async def connect(self, address: tuple[str, int], _: float) -> UpstreamConnection | Failure:
@@ -297,9 +300,9 @@
             self._write(connection, b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
 
     def _changes_since(self, known_version: int | None) -> dict[str, Change | None]:
-        """The latest change of each backend after a version; None as a value for no change.
+        """The latest change after a version, by backend.
 
-        All backends if the version is None.
+        Without a version: all backends, with None for those that never changed.
         """
         changes = self.reference.changes[: self.version - 1]
         latest: dict[str, Change | None] = {}
@@ -329,6 +332,7 @@
     # Events of the schedule.
 
     def apply_change(self, change: Change) -> None:
+        """Makes a change the next version of the list, which ends the hold of open polls."""
         self.reference.changes.append(change)
         self.version += 1
         self.changed.set()
@@ -343,6 +347,7 @@
                     self._record_silence(connection)
 
     def reset_connections(self) -> None:
+        """Resets all connections; for the reference model, a mute one had no watch left to end."""
         for connection in list(self.connections):
             connection.stream.reset()
             if not connection.mute:
