--- a/thornladder/rig/told.py
+++ b/thornladder/rig/told.py
@@ -34,8 +34,9 @@
 from thornladder.rig.moments import MemoryStream, Peer
 from thornladder.rig.standins import instance_entry
 
-# The operators' terms: when a change takes effect at the latest that a watch missed. The times count from the
-# silence of the watch, from the move to another address, and from the end of the hold time of a silent poll.
+# The operators' terms: when a change that a watch missed takes effect at the latest. The times count from the
+# silence of the watch, from the move to another address, and from the end of the hold time of a silent poll;
+# for a silence, the later of its two times holds.
 SILENCE_LIMIT_SECONDS, MOVE_LIMIT_SECONDS, HOLD_LIMIT_SECONDS = 6.0, 4.0, 2.0
 REACHABLE_LIMIT_SECONDS = 6.0  # after the list service had the change and was reachable, whatever else holds
 SOCKET_SLACK_SECONDS = 0.05  # added to each limit on sockets
