--- a/thornladder/shares/core.py
+++ b/thornladder/shares/core.py
@@ -25,6 +25,7 @@
 from thornladder.shares.wire import VERSION, Kind, Message
 
 MAX_CLOCK_DRIFT = 0.011  # between the rates of two clocks: 1 %, and a margin for rounding
+DEMAND_UPDATE_SECONDS = 0.05  # least time between two updates of a demand rate
 SLOTS = 256  # of a window: spent units are counted by slot instead of being recorded one by one
 
 
@@ -105,7 +106,7 @@
     def demand(self, now: float, smoothing: float) -> int:
         """Units that this process could use; `smoothing` is the time constant in seconds."""
         elapsed = now - self.demand_updated_at
-        if elapsed > 0.05:
+        if elapsed > DEMAND_UPDATE_SECONDS:
             weight = math.exp(-elapsed / smoothing)
             self.demand_rate = weight * self.demand_rate + (1.0 - weight) * self.recent_requests / elapsed
             self.demand_updated_at, self.recent_requests = now, 0
--- a/thornladder/shares/explore.py
+++ b/thornladder/shares/explore.py
@@ -23,6 +23,9 @@
 JUMP_SECONDS = (0.3, 2.0)  # past a promise; past every lease
 MAX_IN_FLIGHT = 4  # beyond that the oldest messages are lost, as in a full queue
 DELIVERY_CHOICES = 3  # oldest messages in flight that may come next
+MAX_SETUP_WAKES = 400  # until the initial state is reached
+HIGH_DEMAND_RATE = 50.0  # units per second, more than the budget's limit allows
+FAULTS_PER_WALK = 20  # of each kind
 
 CoreFactory = Callable[..., Core]
 
@@ -99,7 +102,7 @@
     state = FleetState()
     for name in NAMES:
         _start_process(state, name, make)
-    for _ in range(400):
+    for _ in range(MAX_SETUP_WAKES):
         apply_step(state, "wake " + min(NAMES, key=lambda name: state.cores[name].next_wake_at), make)
         while state.in_flight:
             apply_step(state, "deliver 0", make)
@@ -127,10 +130,10 @@
                 steps.append(f"stop {name}")
     if state.stopped:
         steps.append("go")
-    for k in range(min(len(state.in_flight), DELIVERY_CHOICES)):
-        steps += [f"deliver {k}", f"lose {k}"]
+    for index in range(min(len(state.in_flight), DELIVERY_CHOICES)):
+        steps += [f"deliver {index}", f"lose {index}"]
         if state.duplicates_left:
-            steps.append(f"copy {k}")
+            steps.append(f"copy {index}")
     if state.jumps_left:
         steps += [f"jump {seconds}" for seconds in JUMP_SECONDS]
     return steps
@@ -162,7 +165,7 @@
         for name, core in state.cores.items():
             if core is not None:
                 core.local_budgets[0].demand_rate, core.local_budgets[0].demand_updated_at = (
-                    50.0 * (name == argument),
+                    HIGH_DEMAND_RATE * (name == argument),
                     state.now,
                 )
                 core.local_budgets[0].recent_requests = 0
@@ -231,7 +234,7 @@
     rng, state = Random(seed), initial_state(make)
     state.duplicates_left = state.pauses_left = state.kills_left = state.jumps_left = (
         state.demand_changes_left
-    ) = 20
+    ) = FAULTS_PER_WALK
     for _ in range(steps):
         possible = choices(state)
         weights = [STEP_WEIGHTS[step.partition(" ")[0]] for step in possible]
--- a/thornladder/shares/virtual.py
+++ b/thornladder/shares/virtual.py
@@ -42,7 +42,7 @@
         """`make` creates the core of a process; without `demand` no unit is spent."""
         self.names, self.budget, self.demand, self.make = list(names), budget, demand, make
         self.rng = Random(seed)
-        self.network = LinkConditions(faults)
+        self.link_conditions = LinkConditions(faults)
         max_rate_error = 0.49 * MAX_CLOCK_DRIFT  # of one clock, so that two differ by MAX_CLOCK_DRIFT at most
         self.nodes = {}
         for name in names:
@@ -61,8 +61,8 @@
         self.spends_by_second: dict[int, int] = {}
         for name in names:
             self.start(name)
-        for move in node_actions(faults, self.rng):
-            self.schedule(move.at, self._apply_move, move)
+        for action in node_actions(faults, self.rng):
+            self.schedule(action.at, self._apply_node_action, action)
 
     def schedule(self, at: float, callback: Callable[..., None], *args: Any) -> None:
         """Calls `callback` at the time `at`."""
@@ -117,7 +117,9 @@
                 self._deliver(node, core, action.message)
                 continue
             size = 60 + 4 * len(action.message.parts)
-            for delay in self.network.datagram_delays(self.now, node.name, action.target, size, self.rng):
+            for delay in self.link_conditions.datagram_delays(
+                self.now, node.name, action.target, size, self.rng
+            ):
                 if target.core is not None:
                     self.schedule(self.now + delay, self._deliver, target, target.core, action.message)
         self._check_leased_units()
@@ -144,15 +146,15 @@
             self.now + (self.rng.expovariate(rate) if rate > 0.0 else 0.5), self._arrive, node, core
         )
 
-    def _apply_move(self, move: NodeAction) -> None:
-        node = self.nodes[move.node]
-        if move.kind == "start":
-            self.start(move.node)
+    def _apply_node_action(self, action: NodeAction) -> None:
+        node = self.nodes[action.node]
+        if action.kind == "start":
+            self.start(action.node)
         elif node.core is None:
             return
-        elif move.kind == "stop":
+        elif action.kind == "stop":
             node.stopped = True
-        elif move.kind == "go":
+        elif action.kind == "go":
             node.resume()
         else:
             in_use = node.core.local_budgets[0].leased_usage.read(node.local_time(self.now))
