--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -190,7 +190,7 @@
             await anyio.sleep(0.31)  # longer than LINGER_SECONDS after a response
             assert (await client.ask(f"a{number}", "look")).target == "200"
         monkeypatch.undo()
-        [connection] = [connection for connection in connections if connection.received_message]
+        [connection] = [connection for connection in connections if connection.request_seen]
         connection.close_if_idle()
         with pytest.raises(anyio.EndOfStream), anyio.fail_after(1.0):
             await client.stream.receive()
--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -132,7 +132,7 @@
         self.last_activity = server_state.clock()  # when bytes were last received or sent
         # When it was accepted, or when the first byte of the current message was received.
         self.message_started_at = self.last_activity
-        self.received_message = False  # whether a complete message has ever been received
+        self.request_seen = False  # whether a complete message has ever been received
         self.scope = anyio.CancelScope()
 
     @property
@@ -149,7 +149,7 @@
     @property
     def silent(self) -> bool:
         """Whether the client has sent nothing yet."""
-        return self.idle and not self.received_message and not self.closing
+        return self.idle and not self.request_seen and not self.closing
 
     async def serve(self) -> None:
         """Serves the connection until it ends, and closes it; errors are logged, not raised."""
@@ -188,7 +188,7 @@
             return
         self.closing = True
         if not (
-            self.received_message and self.server_state.clock() - self.last_activity < self.LINGER_SECONDS
+            self.request_seen and self.server_state.clock() - self.last_activity < self.LINGER_SECONDS
         ):
             self.scope.cancel()  # no response is in transit that a reset could overtake
 
@@ -209,7 +209,7 @@
                 self.scope.cancel()
         elif self.idle:
             if now - self.last_activity > (
-                idle_timeout if self.received_message else self.RECEIVE_TIMEOUT_SECONDS
+                idle_timeout if self.request_seen else self.RECEIVE_TIMEOUT_SECONDS
             ):
                 self.close_if_idle()
         elif (
@@ -246,7 +246,7 @@
                     await anyio.sleep_forever()  # the writing task cancels this
                 continue
             self.last_activity = self.server_state.clock()
-            if self.received_message and self.idle:
+            if self.request_seen and self.idle:
                 self.message_started_at, self.read_wait_seconds = self.last_activity, 0.0
             if self.exchange is not None and self.upload is None:
                 # Clients do not pipeline: bytes past the declared length make the framing suspect.
@@ -259,7 +259,7 @@
                     data, self.unread_seconds, self.server_state.closes_connections
                 )
                 if nack is not None:
-                    self.received_message, self.unread_seconds, self.closing = (
+                    self.request_seen, self.unread_seconds, self.closing = (
                         True,
                         0.0,
                         self.server_state.closes_connections,
@@ -419,7 +419,7 @@
 
     def _start_streaming(self) -> None:
         """Starts the invocation of a large request: the rest of its body is streamed as it arrives."""
-        request, self.received_message = self.request, True
+        request, self.request_seen = self.request, True
         assert request is not None
         pipe = BodyPipe()
         decoded = messages.decode_invocation(request, bytes(self.body), self.server_state.offerings, pipe)
@@ -439,7 +439,7 @@
         """Handles a complete request: a health check or an invocation."""
         request = self.request
         assert request is not None
-        self.received_message = True
+        self.request_seen = True
         if self.http.trailing_data[0]:
             # The declared length was too short: the rest would be taken for the next request.
             self._reject(400, "more came than one invocation")
--- a/thornladder/node/clients/front.py
+++ b/thornladder/node/clients/front.py
@@ -220,7 +220,7 @@
         used = [
             connection
             for connection in self.connections
-            if connection.received_message and not connection.closing
+            if connection.request_seen and not connection.closing
         ]
         excess = len(used) - round(self.POOL_TARGET_SHARE * self.client_pool_limit)
         if excess > 0:
