--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -11,7 +11,7 @@
 import typer
 
 from thornladder.asking import fetch
-from thornladder.fields import Malformed
+from thornladder.fields import MalformedError
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help=__doc__, pretty_exceptions_enable=False)
 rig = typer.Typer(no_args_is_help=True, help="A fleet on this machine: nodes, backends, clients, and faults.")
@@ -34,22 +34,22 @@
     """Run one node in the foreground until SIGTERM; without options as `python -m thornladder` does."""
     from thornladder.__main__ import main
 
-    companions: list[Any] = []
+    extensions: list[Any] = []
     if counters:
         from thornladder.rollout.counters import Counters
 
-        companions.append(Counters())
+        extensions.append(Counters())
     if fleet:
         from thornladder.membership.companion import Membership
         from thornladder.membership.config import load
 
         try:
-            companions.append(Membership(load(fleet)))
-        except Malformed as error:
+            extensions.append(Membership(load(fleet)))
+        except MalformedError as error:
             refuse(f"{fleet}: {error}")
     if config:
         os.environ["EDGE_CONFIG"] = config
-    raise typer.Exit(main(companions))
+    raise typer.Exit(main(extensions))
 
 
 @app.command()
@@ -75,9 +75,11 @@
 @app.command()
 def speaks() -> None:
     """Print the versions of what this program says to others, for a change's file."""
-    from thornladder.rollout.counters import SPEAKS
+    from thornladder.rollout.counters import PROTOCOL_VERSIONS
 
-    print("speaks = { " + ", ".join(f"{what} = {version}" for what, version in SPEAKS.items()) + " }")
+    print(
+        "speaks = { " + ", ".join(f"{what} = {version}" for what, version in PROTOCOL_VERSIONS.items()) + " }"
+    )
 
 
 @app.command()
@@ -86,14 +88,14 @@
     import anyio
     import structlog
 
-    from thornladder.__main__ import log_as_json
+    from thornladder.__main__ import configure_json_logging
     from thornladder.rollout import keeper
 
     try:
         config = keeper.load(file)
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
-    log_as_json()
+    configure_json_logging()
     try:
         anyio.run(keeper.Keeper(config, structlog.get_logger()).run, backend_options={"use_uvloop": True})
     except OSError as error:
@@ -108,7 +110,7 @@
 
     try:
         return plan.load(file)
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
 
 
@@ -116,16 +118,16 @@
     from thornladder.rollout import driver, store
 
     try:
-        return store.Store(driver.log_of(file))
-    except Malformed as error:
-        refuse(f"{driver.log_of(file)}: {error}")
+        return store.Store(driver.log_path(file))
+    except MalformedError as error:
+        refuse(f"{driver.log_path(file)}: {error}")
 
 
 @rollout.command("plan")
 def rollout_plan(file: FileOfChange) -> None:
     """Check a change's file and print its stages."""
     change = _change(file)
-    order, done = change.spread(), 0
+    order, done = change.rollout_order(), 0
     print(f"{change.change.name}: {len(order)} nodes")
     for number, size in enumerate(change.stage_sizes(), 1):
         names = ", ".join(order[done:size]) or "nothing new"
@@ -158,10 +160,10 @@
     store = _log(file)
     try:
         run = driver.Run(change, store, lambda words: print(words, file=sys.stderr, flush=True))
-    except Malformed as error:
+    except MalformedError as error:
         refuse(f"{file}: {error}")
     phase = anyio.run(run.run)
-    why = f", {run.driver.words}" if run.driver.words != phase.value else ""
+    why = f", {run.driver.message}" if run.driver.message != phase.value else ""
     print(f"{change.change.name}: {phase.value}{why}")
     raise typer.Exit(0 if phase is driver.Phase.DONE else 1)
 
@@ -176,15 +178,15 @@
     change, store = _change(file), _log(file)
     try:
         run = driver.Run(change, store, print)
-        print(driver.status(store, anyio.run(run.look)))
-    except Malformed as error:
+        print(driver.status(store, anyio.run(run.poll_keepers)))
+    except MalformedError as error:
         refuse(f"{file}: {error}")
 
 
 def _wish(word: str, help: str) -> None:
     def command(file: FileOfChange) -> None:
         _change(file)
-        _log(file).wish(word)
+        _log(file).add_request(word)
 
     command.__doc__ = help
     rollout.command(word)(command)
@@ -207,16 +209,18 @@
     from thornladder.rig import play, summary
 
     try:
-        plan = play.load(file)
-    except Malformed as error:
+        plan = play.load_scenario(file)
+    except MalformedError as error:
         refuse(f"{file}: {error}")
     try:
-        told = play.run(plan, seed, progress=None if quiet else lambda words: print(words, file=sys.stderr))
-    except play.PlayFailed as error:
+        told = play.run_scenario(
+            plan, seed, progress=None if quiet else lambda words: print(words, file=sys.stderr)
+        )
+    except play.ScenarioError as error:
         refuse(str(error), 1)
     if result is not None:
         result.write_text(json.dumps(told))
-    print(summary.text(told))
+    print(summary.format_summary(told))
     raise typer.Exit(0 if told["holds"] else 1)
 
 
@@ -229,7 +233,7 @@
         told = json.loads(file.read_bytes())
     except (OSError, ValueError) as error:
         refuse(f"{file}: {error}")
-    print(summary.text(told))
+    print(summary.format_summary(told))
 
 
 if __name__ == "__main__":
--- a/thornladder/measures/membership.py
+++ b/thornladder/measures/membership.py
@@ -13,13 +13,13 @@
 from typing import Any
 
 from thornladder.measures.points import Points
-from thornladder.measures.schedules import Schedule, draw
+from thornladder.measures.schedules import Schedule, draw_schedule
 from thornladder.membership import baselines
 from thornladder.membership.explore import explore
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import Holds, Load, Plan, Replace
-from thornladder.rig.virtual import World, ours
+from thornladder.rig.play import BackendReplacement, Expectations, Load, Scenario
+from thornladder.rig.virtual import Simulation, ours
 
 OUT = ("lost", "ended", "left")
 MANY = 12  # schedules of 400 members in the long run: minutes of a core each
@@ -38,7 +38,7 @@
     END = 232.0
 
 
-def long_play(size: int, seed: int) -> Plan:
+def long_play(size: int, seed: int) -> Scenario:
     names = [f"n{number:02}" for number in range(size)]
     c = Course
     half = size // 2
@@ -57,15 +57,15 @@
         Fault(kind="kill", at=c.HALF, nodes=left), Fault(kind="start", at=c.HALF_START, nodes=left),
         Fault(kind="loss", at=c.LOSS, lasts=c.LOSS_END - c.LOSS, share=0.3),
     ]  # fmt: skip
-    return Plan(seconds=c.END, nodes=size, seeds=min(3, size), load=Load(rate=0.0), faults=faults,
-                holds=Holds(one_view_after=10.0))  # fmt: skip
+    return Scenario(seconds=c.END, nodes=size, seeds=min(3, size), load=Load(rate=0.0), faults=faults,
+                    holds=Expectations(one_view_after=10.0))  # fmt: skip
 
 
 def played(size: int, seed: int) -> dict[str, Any] | str:
     """What happened, or why it could not be played."""
     try:
-        return play.run(long_play(size, seed), seed)
-    except (play.PlayFailed, OSError, ExceptionGroup) as error:
+        return play.run_scenario(long_play(size, seed), seed)
+    except (play.ScenarioError, OSError, ExceptionGroup) as error:
         return repr(error)
 
 
@@ -157,23 +157,24 @@
 def storm(size: int, seed: int, make: str = "ours") -> dict[str, Any]:
     """One schedule of overlapping faults; what came of it."""
     names = [f"m{number:03}" for number in range(size)]
-    schedule: Schedule = draw(names, seed)
-    world = World(names, schedule.faults, seed, make={"ours": ours, "heartbeats": baselines.heartbeats,
+    schedule: Schedule = draw_schedule(names, seed)
+    world = Simulation(names, schedule.faults, seed, make={"ours": ours, "heartbeats": baselines.heartbeats,
                                                      "swim": baselines.swim}[make])  # fmt: skip
-    world.run(schedule.healed)
-    merged = world.until_one_view(10.0)
-    wrong = [told for told in world.told
-             if told.view and told.what in OUT and not schedule.excused(told.of, told.at)]  # fmt: skip
-    return {"wrong": len({(told.of, round(told.at)) for told in wrong}), "merged": merged,
+    world.run(schedule.healed_at)
+    merged = world.run_until_converged(10.0)
+    wrong = [told for told in world.changes
+             if told.view_changed and told.state in OUT
+             and not schedule.excused(told.subject, told.at)]  # fmt: skip
+    return {"wrong": len({(told.subject, round(told.at)) for told in wrong}), "merged": merged,
             "first": (seed, wrong[0]) if wrong else None}  # fmt: skip
 
 
 def steady(size: int) -> dict[str, float]:
-    world = World([f"m{number:04}" for number in range(size)], [], 1)
+    world = Simulation([f"m{number:04}" for number in range(size)], [], 1)
     world.run(2.0)
-    before = [(place.bytes, place.messages, place.cpu) for place in world.places.values()]
+    before = [(place.bytes_sent, place.messages_sent, place.cpu_seconds) for place in world.members.values()]
     world.run(12.0)
-    after = [(place.bytes, place.messages, place.cpu) for place in world.places.values()]
+    after = [(place.bytes_sent, place.messages_sent, place.cpu_seconds) for place in world.members.values()]
     spent = [[(b - a) / 10.0 for a, b in zip(x, y, strict=True)] for x, y in zip(before, after, strict=True)]
     return {"bytes": max(row[0] for row in spent), "messages": max(row[1] for row in spent),
             "cpu": statistics.mean(row[2] for row in spent)}  # fmt: skip
@@ -186,9 +187,13 @@
     fault = Fault(kind="kill", at=at, nodes=(names[1],)) if kind == "killed" else Fault(
         kind="cut", at=at, lasts=60.0, source=(names[1],), both=True
     )  # fmt: skip
-    world = World(names, [fault], seed)
+    world = Simulation(names, [fault], seed)
     world.run(at + 15.0)
-    known = {told.by: told.at - at for told in reversed(world.told) if told.of == names[1] and told.view}
+    known = {
+        told.observer: told.at - at
+        for told in reversed(world.changes)
+        if told.subject == names[1] and told.view_changed
+    }
     known.pop(names[1], None)
     return min(known.values(), default=math.inf), (
         max(known.values()) if len(known) == size - 1 else math.inf
@@ -203,13 +208,14 @@
         who = (names[(number * 7) % size],)
         faults += [Fault(kind="kill", at=at, nodes=who), Fault(kind="start", at=at + 20.0, nodes=who)]
         at += step
-    world = World(names, faults, seed)
+    world = Simulation(names, faults, seed)
     world.run(at + 22.0)
-    merged = world.until_one_view(10.0)
+    merged = world.run_until_converged(10.0)
     seconds = world.now
-    wrong = sum(told.view and told.what == "lost" for told in world.told)
-    return {"merged": merged, "bytes": max(p.bytes for p in world.places.values()) / seconds, "lost": wrong,
-            "cpu": statistics.mean(p.cpu for p in world.places.values()) / seconds}  # fmt: skip
+    wrong = sum(told.view_changed and told.state == "lost" for told in world.changes)
+    return {"merged": merged, "bytes": max(p.bytes_sent for p in world.members.values()) / seconds,
+            "lost": wrong,
+            "cpu": statistics.mean(p.cpu_seconds for p in world.members.values()) / seconds}  # fmt: skip
 
 
 def long_day(seed: int, seconds: float, size: int = 8) -> dict[str, float]:
@@ -218,10 +224,10 @@
     faults = [Fault(kind="loss", at=0.0, lasts=seconds, share=0.1)]
     faults += [Fault(kind="pause", at=20.0 * k + 5.0, lasts=0.5 + (k * 37 % 46) / 10.0,
                      nodes=(names[(k * 5 + seed) % size],)) for k in range(int(seconds / 20.0))]  # fmt: skip
-    world = World(names, faults, seed)
+    world = Simulation(names, faults, seed)
     world.run(seconds)
-    return {"removed": sum(told.view and told.what in OUT for told in world.told),
-            "merged": world.until_one_view(10.0)}  # fmt: skip
+    return {"removed": sum(told.view_changed and told.state in OUT for told in world.changes),
+            "merged": world.run_until_converged(10.0)}  # fmt: skip
 
 
 def percentiles(values: Sequence[float]) -> dict[str, float]:
@@ -243,7 +249,7 @@
     for make in ("heartbeats", "swim"):
         done = list(pool.map(storm, [16] * 200, range(200), [make] * 200, chunksize=10))
         same = sum(each["wrong"] for each in done)
-        points.told(f"baseline {make}, 16 members, 200 schedules: wrong removals", same, "0-199")
+        points.record(f"baseline {make}, 16 members, 200 schedules: wrong removals", same, "0-199")
     for kind, limit in (("killed", 2.0), ("silent", 10.0)):
         for size in (10, 100, 400):
             runs = 100 if size < 400 else 20
@@ -275,17 +281,18 @@
 # Service: the same faults under load, membership on and off, paired.
 
 
-SERVICE: dict[str, tuple[list[Fault], list[Replace]]] = {
+SERVICE: dict[str, tuple[list[Fault], list[BackendReplacement]]] = {
     "calm": ([], []),
     "killed and back": (
         [Fault(kind="kill", at=6, nodes=("n01",)), Fault(kind="start", at=12, nodes=("n01",))],
-        [Replace(backend=0, at=8.0)],
+        [BackendReplacement(backend=0, at=8.0)],
     ),
-    "paused": ([Fault(kind="pause", at=6, lasts=5, nodes=("n01",))], [Replace(backend=0, at=8.0)]),
-    "30% loss": ([Fault(kind="loss", at=4, lasts=18, share=0.3)], [Replace(backend=0, at=8.0)]),
-    "one-sided": ([Fault(kind="cut", at=4, lasts=15, source=("n01",))], [Replace(backend=0, at=8.0)]),
+    "paused": ([Fault(kind="pause", at=6, lasts=5, nodes=("n01",))], [BackendReplacement(backend=0, at=8.0)]),
+    "30% loss": ([Fault(kind="loss", at=4, lasts=18, share=0.3)], [BackendReplacement(backend=0, at=8.0)]),
+    "one-sided": ([Fault(kind="cut", at=4, lasts=15, source=("n01",))],
+                  [BackendReplacement(backend=0, at=8.0)]),
     "cut": ([Fault(kind="cut", at=4, lasts=15, source=("n00", "n01"), target=("n02", "n03"), both=True)],
-            [Replace(backend=0, at=8.0)]),
+            [BackendReplacement(backend=0, at=8.0)]),
 }  # fmt: skip
 
 
@@ -293,9 +300,9 @@
     faults, replace = SERVICE[name]
     # A fifth of what the backends bear, so that a cold one feels its part.
     load = Load(rate=120.0, cost=0.015)
-    plan = Plan(seconds=24.0, nodes=4, membership=membership, load=load, faults=faults,
-                replace=replace)  # fmt: skip
-    return play.run(plan, seed)
+    plan = Scenario(seconds=24.0, nodes=4, membership=membership, load=load, faults=faults,
+                    replace=replace)  # fmt: skip
+    return play.run_scenario(plan, seed)
 
 
 def under_load(points: Points, pool: ProcessPoolExecutor, seeds: range) -> None:
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -16,40 +16,46 @@
 from thornladder.interface import Invocation
 from thornladder.measures.points import Points
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending, Message
+from thornladder.node.messages import ClientResponse, FinalOutcome, UpstreamRequest
 from thornladder.rig import play
 from thornladder.rig.faults import Fault
-from thornladder.rig.play import DRIVER, Load, Plan, Replace, Rolling
+from thornladder.rig.play import DRIVER, BackendReplacement, Load, RolloutSpec, Scenario
 from thornladder.rollout import explore, virtual
 from thornladder.rollout.core import Driver, Phase
 from thornladder.rollout.counters import Counters
 from thornladder.rollout.judge import Judge
 
 STATED = 0.01  # chance of a false stop
-SOUND_ONE = virtual.Harm()
-REFUSED = virtual.Harm("refused", refused="it did not take the settings")
-JUDGES: dict[str, type[Judge]] = {"ours": Judge, "threshold": virtual.Threshold, "blind": virtual.Blind}
+NO_REGRESSION = virtual.Regression()
+REFUSED_SETTINGS = virtual.Regression("refused", refused="it did not take the settings")
+JUDGES: dict[str, type[Judge]] = {
+    "ours": Judge,
+    "threshold": virtual.ThresholdJudge,
+    "blind": virtual.NeverStops,
+}
 
 
 # In virtual time.
 
 
-def simulated(size: int, seed: int, harm: virtual.Harm, judge: str, trouble: bool) -> virtual.Outcome:
-    fleet = virtual.Fleet(size, seed, harm, virtual.troubles(seed) if trouble else ())
+def simulate_rollout(
+    size: int, seed: int, harm: virtual.Regression, judge: str, trouble: bool
+) -> virtual.Outcome:
+    fleet = virtual.Fleet(size, seed, harm, virtual.draw_incidents(seed) if trouble else ())
     heaviest = max(fleet.nodes.values(), key=lambda node: node.rate).name
-    plan = virtual.a_plan(size, first=(heaviest,))
-    return virtual.play(fleet, plan, JUDGES[judge](plan.worse, plan.false_stops))[0]
+    plan = virtual.make_plan(size, first=(heaviest,))
+    return virtual.simulate(fleet, plan, JUDGES[judge](plan.worse, plan.false_stops))[0]
 
 
-def killed_at(place: int, harm: virtual.Harm = SOUND_ONE, seed: int = 1) -> tuple[bool, str, int]:
+def killed_at(place: int, harm: virtual.Regression = NO_REGRESSION, seed: int = 1) -> tuple[bool, str, int]:
     """The driver dies before its act number `place`, and one goes on from its log. Whether it came so far."""
     fleet = virtual.Fleet(4, seed, harm, rate=10.0)
-    plan = virtual.a_plan(4, before=3.0, watch=3.0, least=5, least_each=0, stages=(1, 0.5, 1.0))
+    plan = virtual.make_plan(4, before=3.0, watch=3.0, least=5, least_each=0, stages=(1, 0.5, 1.0))
     log: list[Any] = []
     driver, done, died = Driver(plan, "d"), 0, False
-    while fleet.now < 400.0 and not driver.over:
-        fleet.second()
-        for act in driver.step(fleet.now, fleet.seen()):
+    while fleet.now < 400.0 and not driver.finished:
+        fleet.advance_second()
+        for act in driver.step(fleet.now, fleet.reports()):
             if done == place and not died:
                 died = True
                 driver = Driver(plan, "d", log)
@@ -57,13 +63,13 @@
             fleet.carry_out([act], log)
             done += 1
     for _ in range(5):
-        fleet.second()
-        fleet.carry_out(driver.step(fleet.now, fleet.seen()), log)
+        fleet.advance_second()
+        fleet.carry_out(driver.step(fleet.now, fleet.reports()), log)
     lines = {node.running for node in fleet.nodes.values()}
     return died, driver.phase.value, len(lines)
 
 
-def every_death(harm: virtual.Harm) -> list[tuple[str, int]]:
+def crash_driver_at_each_action(harm: virtual.Regression) -> list[tuple[str, int]]:
     """How each change ended whose driver died once, at each place where it can."""
     ended = []
     for place in range(1000):
@@ -76,35 +82,35 @@
 
 def in_virtual_time(points: Points, pool: ProcessPoolExecutor, full: bool) -> None:
     seeds = range(20 if full else 5)
-    for harm in virtual.HARMS:
+    for harm in virtual.REGRESSIONS:
         jobs = [(12, seed, harm, "ours", False) for seed in seeds]
-        done = list(pool.map(simulated, *zip(*jobs, strict=True)))
-        caught = [each for each in done if each.phase is Phase.UNDONE and not each.left]
+        done = list(pool.map(simulate_rollout, *zip(*jobs, strict=True)))
+        caught = [each for each in done if each.phase is Phase.ROLLED_BACK and not each.remaining_new_nodes]
         points.at_least(f"12 nodes, {harm.name}: stopped and undone, of {len(done)}", len(caught), len(done),
                         f"0-{len(done) - 1}", stages=sorted({each.stage for each in done}),
                         seconds=statistics.median(each.seconds for each in done),
-                        harmed=statistics.median(each.harmed for each in done))  # fmt: skip
-        most = max(each.most for each in done)
+                        harmed=statistics.median(each.harmed_invocations for each in done))  # fmt: skip
+        most = max(each.max_new_nodes for each in done)
         name = f"12 nodes, {harm.name}: most that ran it"
         points.at_most(name, most, 5, f"0-{len(done) - 1}")
         for judge in ("threshold", "blind"):
             jobs = [(12, seed, harm, judge, False) for seed in seeds]
-            other = list(pool.map(simulated, *zip(*jobs, strict=True)))
+            other = list(pool.map(simulate_rollout, *zip(*jobs, strict=True)))
             missed = sum(each.phase is Phase.DONE for each in other)
-            points.told(f"baseline {judge}, {harm.name}: went through, of {len(other)}", missed,
+            points.record(f"baseline {judge}, {harm.name}: went through, of {len(other)}", missed,
                         f"0-{len(other) - 1}",
-                        harmed=statistics.median(each.harmed for each in other))  # fmt: skip
+                        harmed=statistics.median(each.harmed_invocations for each in other))  # fmt: skip
     for judge in JUDGES:
-        jobs = [(12, seed, virtual.Harm(), judge, True) for seed in range(200)]
-        done = list(pool.map(simulated, *zip(*jobs, strict=True), chunksize=5))
+        jobs = [(12, seed, virtual.Regression(), judge, True) for seed in range(200)]
+        done = list(pool.map(simulate_rollout, *zip(*jobs, strict=True), chunksize=5))
         stopped = sum(each.phase is not Phase.DONE for each in done)
         name = f"sound changes under troubles, {judge}: stopped, of 200"
         if judge == "ours":
             points.at_most(name, stopped, 200 * STATED, "0-199")
         else:
-            points.told(name, stopped, "0-199")
-    for harm, wanted in ((SOUND_ONE, "done"), (REFUSED, "undone")):
-        ended = every_death(harm)
+            points.record(name, stopped, "0-199")
+    for harm, wanted in ((NO_REGRESSION, "done"), (REFUSED_SETTINGS, "undone")):
+        ended = crash_driver_at_each_action(harm)
         wrong = [place for place, end in enumerate(ended) if end != (wanted, 1)]
         points.at_most(f"the driver killed at each of its acts, {harm.name}: not {wanted}, or nodes unlike",
                        len(wrong), 0, [1], places=wrong[:5], acts=len(ended))  # fmt: skip
@@ -113,7 +119,7 @@
                    states=result.states, depth_finished=result.depth, seconds=round(result.seconds, 1),
                    breach=result.breach, steps=list(result.steps))  # fmt: skip
     walks = 2000 if full else 400
-    stuck = [each for each in pool.map(walked, range(walks), chunksize=20) if each]
+    stuck = [each for each in pool.map(random_walk, range(walks), chunksize=20) if each]
     points.at_most(f"{walks} walks of two drivers, then health: fleets in no stated state", len(stuck), 0,
                    f"0-{walks - 1}", first=stuck[:2])  # fmt: skip
     for planted in (explore.ActsFirst, explore.AnyGrant):
@@ -122,13 +128,15 @@
                         states=found.states, breach=found.breach)  # fmt: skip
 
 
-def walked(seed: int) -> str:
+def random_walk(seed: int) -> str:
     """Two drivers and three nodes through a drawn course of deaths and losses, then all is well."""
-    chance, spot = Random(seed), explore.begin(Driver)
+    chance, spot = Random(seed), explore.initial_state(Driver)
     for _ in range(chance.randint(5, 60)):
-        if wrong := explore.take(spot, chance.choice(explore.choices(spot) or ["look x 0"]), Driver):
+        if wrong := explore.apply_step(
+            spot, chance.choice(explore.possible_steps(spot) or ["look x 0"]), Driver
+        ):
             return wrong
-    return explore.settle(spot)
+    return explore.run_to_quiet(spot)
 
 
 # What counting costs.
@@ -137,31 +145,31 @@
 class Sink:
     """Takes an invocation and completes it at once."""
 
-    def whole(self, exchange: Exchange) -> None: ...
+    def body_received(self, exchange: Exchange) -> None: ...
 
-    def stuck(self, exchange: Exchange) -> None: ...
+    def body_stalled(self, exchange: Exchange) -> None: ...
 
-    def client_gone(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
-    def came(self, exchange: Exchange) -> bool:
-        exchange.finish(Answer(Ending.COMPLETED))
+    def start_invocation(self, exchange: Exchange) -> bool:
+        exchange.finish(ClientResponse(FinalOutcome.COMPLETED))
         return True
 
 
 def counting(rounds: int = 9, many: int = 20_000) -> float:
     """Microseconds that an invocation costs more with counters than without: the median of pairs."""
     counters = Counters()
-    counters.targets = {"look": 0.2}
-    watched, _ = counters.between(Sink(), lambda *given: None)
-    message = Message("GET", "/look", [], b"")
+    counters.target_seconds = {"look": 0.2}
+    watched, _ = counters.wrap(Sink(), lambda *given: None)
+    message = UpstreamRequest("GET", "/look", [], b"")
     more = []
     for _ in range(rounds):
         took = []
-        for taker in (Sink(), watched):
+        for handler in (Sink(), watched):
             began = time.process_time()
             for number in range(many):
                 invocation = Invocation(str(number), "look", "", 0.2, None, False)
-                taker.came(Exchange(invocation, message, lambda answer: None))
+                handler.start_invocation(Exchange(invocation, message, lambda answer: None))
             took.append((time.process_time() - began) / many)
         more.append(1e6 * (took[1] - took[0]))
     return statistics.median(more)
@@ -172,41 +180,44 @@
 NODES = 12
 MORE = {"before": 15.0, "watch": 15.0, "least": 100, "least_each": 30, "out": 2}
 AWAY = (12.0, 50.0)  # seconds of the play: from when, for how long
-SOUND = {"PolicyLimits": {"MaxRetryAfter": 400000}}
+SAFE_SETTINGS = {"PolicyLimits": {"MaxRetryAfter": 400000}}
 FLAWS = ("start", "tenth", "after:8", "slow:pay:0.03", "nack:0.1", "leak:2000000")
 
 
-def the_play(kind: str, change: Rolling | None, faults: list[Fault], seconds: float, nodes: int) -> Plan:
+def the_play(
+    kind: str, change: RolloutSpec | None, faults: list[Fault], seconds: float, nodes: int
+) -> Scenario:
     load = Load(rate=12.0 * nodes, cost=0.004)
-    released = [Replace(backend=0, at=30.0)] if kind == "released" else []
+    released = [BackendReplacement(backend=0, at=30.0)] if kind == "released" else []
     ends = change is not None and not change.rivals
-    return Plan(seconds=seconds, nodes=nodes, membership=False, load=load, faults=faults, change=change,
-                until_changed=ends, replace=released)  # fmt: skip
+    return Scenario(seconds=seconds, nodes=nodes, membership=False, load=load, faults=faults, change=change,
+                    until_changed=ends, replace=released)  # fmt: skip
 
 
-def plays(full: bool) -> dict[str, Plan]:
+def plays(full: bool) -> dict[str, Scenario]:
     nodes, long = (NODES, 150.0) if full else (6, 110.0)
     more = MORE if full else {**MORE, "before": 8.0, "watch": 8.0, "least_each": 15}
 
-    def rolled(at: float = 2.0, **what: Any) -> Rolling:
-        return Rolling(at=at, more=more, **what)
+    def rolled(at: float = 2.0, **what: Any) -> RolloutSpec:
+        return RolloutSpec(at=at, more=more, **what)
 
     cut = Fault(kind="cut", at=25.0, lasts=20.0, source=(DRIVER,), both=True,
                 target=tuple(f"n{k:02}" for k in range(nodes // 2)))  # fmt: skip
     made = {
         "no change": the_play("", None, [], 60.0, nodes),
-        "settings": the_play("", rolled(settings=SOUND), [], long, nodes),
+        "settings": the_play("", rolled(settings=SAFE_SETTINGS), [], long, nodes),
         "program": the_play("", rolled(flaw="none"), [], long, nodes),
-        "driver killed": the_play("", rolled(settings=SOUND, killed=[6.0, 21.0, 30.0]), [], long, nodes),
-        "driver cut off": the_play("", rolled(settings=SOUND), [cut], long, nodes),
-        "node killed": the_play("", rolled(settings=SOUND), [Fault(kind="kill", at=20.0, nodes=("n00",))],
-                                long, nodes),
-        "node paused": the_play("", rolled(settings=SOUND),
-                                [Fault(kind="pause", at=22.0, lasts=8.0, nodes=("n00",))], long, nodes),
-        "released": the_play("released", rolled(settings=SOUND), [], long, nodes),
-        "two drivers": the_play("", rolled(settings=SOUND, rivals=1), [], long, nodes),
-        "a keeper away": the_play("", rolled(settings=SOUND, keepers_paused=[("n01", *AWAY)]), [], long,
+        "driver killed": the_play("", rolled(settings=SAFE_SETTINGS, killed=[6.0, 21.0, 30.0]), [], long,
                                   nodes),
+        "driver cut off": the_play("", rolled(settings=SAFE_SETTINGS), [cut], long, nodes),
+        "node killed": the_play("", rolled(settings=SAFE_SETTINGS),
+                                [Fault(kind="kill", at=20.0, nodes=("n00",))], long, nodes),
+        "node paused": the_play("", rolled(settings=SAFE_SETTINGS),
+                                [Fault(kind="pause", at=22.0, lasts=8.0, nodes=("n00",))], long, nodes),
+        "released": the_play("released", rolled(settings=SAFE_SETTINGS), [], long, nodes),
+        "two drivers": the_play("", rolled(settings=SAFE_SETTINGS, rivals=1), [], long, nodes),
+        "a keeper away": the_play("", rolled(settings=SAFE_SETTINGS, keepers_paused=[("n01", *AWAY)]), [],
+                                  long, nodes),
         "settings refused": the_play("", rolled(settings={"PolicyLimits": {"MaxAttempts": 0}}), [], 60.0,
                                      nodes),
     }  # fmt: skip
@@ -215,10 +226,10 @@
     return made
 
 
-def played(name: str, plan: Plan) -> dict[str, Any] | str:
+def played(name: str, plan: Scenario) -> dict[str, Any] | str:
     try:
-        return play.run(plan, 1)
-    except (play.PlayFailed, OSError, ExceptionGroup) as error:
+        return play.run_scenario(plan, 1)
+    except (play.ScenarioError, OSError, ExceptionGroup) as error:
         return repr(error)
 
 
--- a/thornladder/measures/sizes.py
+++ b/thornladder/measures/sizes.py
@@ -15,7 +15,7 @@
 from thornladder.interface import Invocation, ListKind, Outcome
 from thornladder.measures.points import Points
 from thornladder.node.messages import decode_list
-from thornladder.rig.told import decisions, listed
+from thornladder.rig.told import decision_settings, list_entry
 
 SIZES = (16, 128, 1024)
 RATE, SPAN = 50, 20  # invocations a second at the node, as in a bank of many; seconds
@@ -29,10 +29,10 @@
         self.pushed: list[tuple[str, str]] = []
         self.nacked = 0
 
-    def push(self, invocation: str, backend: str, time_out: float, begin_in: float) -> None:
+    def push(self, invocation: str, backend: str, timeout: float, send_within: float) -> None:
         self.pushed.append((invocation, backend))
 
-    def nack(self, invocation: str, come_back: float) -> None:
+    def nack(self, invocation: str, retry_after: float) -> None:
         self.nacked += 1
 
     def _pass(self, *_: Any) -> None:
@@ -50,16 +50,16 @@
 
 
 def cost(size: int) -> Cost:
-    lines = [listed(f"s{number}", "in_service") for number in range(size)]
+    lines = [list_entry(f"s{number}", "in_service") for number in range(size)]
     body = json.dumps({"generation": 2, "reset": True, "instances": lines}, indent=2).encode()
     host = _Host()
     tracemalloc.start()
-    node = Node(host, seed=1, now=0.0, **decisions(200, False))
-    node.on_list(0.0, ListKind.WHOLE, decode_list(body).entries)
+    node = Node(host, seed=1, now=0.0, **decision_settings(200, False))
+    node.on_list(0.0, ListKind.SNAPSHOT, decode_list(body).entries)
     memory = tracemalloc.get_traced_memory()[0] / 1024.0
     tracemalloc.stop()
     began = time.perf_counter()
-    node.on_list(0.0, ListKind.WHOLE, decode_list(body).entries)
+    node.on_list(0.0, ListKind.SNAPSHOT, decode_list(body).entries)
     whole = time.perf_counter() - began
     now, spent, leaving, wrong = 0.0, 0.0, set[str](), 0
     for number in range(RATE * SPAN):
@@ -74,10 +74,10 @@
         spent += time.perf_counter() - began
         host.pushed.clear()
         if number == RATE * SPAN // 2:
-            part = [listed(f"s{each}", "terminating") for each in range(0, size, 4)]
+            part = [list_entry(f"s{each}", "terminating") for each in range(0, size, 4)]
             text = json.dumps({"generation": 3, "reset": False, "instances": part}, indent=2).encode()
             began = time.perf_counter()
-            node.on_list(now, ListKind.CHANGES, decode_list(text).entries)
+            node.on_list(now, ListKind.DELTA, decode_list(text).entries)
             drain = time.perf_counter() - began
             leaving = {line["instanceId"] for line in part}
     return Cost(whole, drain, 1e6 * spent / (RATE * SPAN), memory, wrong)
@@ -88,9 +88,9 @@
     costs = {size: cost(size) for size in SIZES}
     least = costs[SIZES[0]]
     for size, each in costs.items():
-        points.told(f"{size}: invocation, times {SIZES[0]}", each.invocation_us / least.invocation_us, 1,
+        points.record(f"{size}: invocation, times {SIZES[0]}", each.invocation_us / least.invocation_us, 1,
                     microseconds=round(each.invocation_us, 1))  # fmt: skip
-        points.told(f"{size}: memory, kB", each.memory_kb, 1)
+        points.record(f"{size}: memory, kB", each.memory_kb, 1)
         # With a tenth of a core, as the issue has it; a drain is taken in well before it binds.
         points.at_most(f"{size}: whole list with a tenth of a core, s", 10.0 * each.list_s, STALL, 1)
         points.at_most(f"{size}: a quarter drained with a tenth of a core, s", 10.0 * each.drain_s, STALL, 1)
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -23,17 +23,17 @@
 from thornladder.decide import Node
 from thornladder.interface import ListKind
 from thornladder.measures.points import Points
-from thornladder.node.backends.pushes import Pushes
+from thornladder.node.backends.pushes import PushDispatcher
 from thornladder.node.discovery.watch import Watch
-from thornladder.node.messages import Ending, ListAnswer
-from thornladder.rig.told import Change, Schedule, play
+from thornladder.node.messages import DiscoveryResponse, FinalOutcome
+from thornladder.rig.told import Change, Schedule, run_schedule
 
 KINDS = ("silent", "silent body", "silent first", "silent twice", "reset", "away", "move",
          "move into silence", "spoilt", "stall", "crowd")  # fmt: skip
 SPOILT = (b"", b"{", b"[]", b'{"generation":"x"}', b'{"generation":9,"instances":[{}]}', b"\xff" * 3000)
 
 
-def draw(seed: int) -> Schedule:
+def draw_schedule(seed: int) -> Schedule:
     """One to three faults, with drains before, in and after each; all is drawn from the seed."""
     rng = Random(seed)
     backends = rng.choice((8, 12, 12, 40, 300))
@@ -88,9 +88,9 @@
                     changes += [Change(back, name, "in_service") for name in part]
         at += lasts + rng.uniform(0.0, 2.0)
     return Schedule(
-        seed=seed, pushed=rng.random() < 0.5, grace=grace, backends=backends,
-        rate=rng.choice((10.0, 40.0)), length=at + 6.0, turn=rng.choice((0.0, 0.05, 0.3)),
-        indented=rng.random() < 0.3, late=rng.choice((0.0, 0.1, 0.3)),
+        seed=seed, list_pushed=rng.random() < 0.5, drain_grace=grace, backends=backends,
+        rate=rng.choice((10.0, 40.0)), duration=at + 6.0, watch_open_seconds=rng.choice((0.0, 0.05, 0.3)),
+        indented_json=rng.random() < 0.3, late_connect_share=rng.choice((0.0, 0.1, 0.3)),
         changes=tuple(sorted(changes)), **days,
     )  # fmt: skip
 
@@ -98,7 +98,7 @@
 ROWS = ("503", "late 503", "reset", "mute", "away", "spoilt", "move", "crowd")
 
 
-def draw_failing(seed: int) -> Schedule:
+def draw_failing_schedule(seed: int) -> Schedule:
     """Calls that fail in whatever way, in rows of up to 14 s, from the start or later; drains amid them."""
     rng = Random(seed)
     pushed = rng.random() < 0.25
@@ -137,9 +137,9 @@
         if at - begins > 14.0:
             break
     return Schedule(
-        seed=seed, pushed=pushed, grace=grace, backends=backends, rate=rng.choice((10.0, 40.0)),
-        length=at + 8.0, turn=rng.choice((0.0, 0.05, 0.3)), late=rng.choice((0.0, 0.3)),
-        changes=tuple(sorted(changes)), **days,
+        seed=seed, list_pushed=pushed, drain_grace=grace, backends=backends, rate=rng.choice((10.0, 40.0)),
+        duration=at + 8.0, watch_open_seconds=rng.choice((0.0, 0.05, 0.3)),
+        late_connect_share=rng.choice((0.0, 0.3)), changes=tuple(sorted(changes)), **days,
     )  # fmt: skip
 
 
@@ -152,40 +152,46 @@
     nacked: int
 
 
-def judge(seed: int, planted: str = "", failing: bool = False) -> Verdict:
+def check_schedule(seed: int, planted: str = "", failing: bool = False) -> Verdict:
     """Plays one schedule, with a fault in the node if one is named; `failing`: one of calls that fail."""
-    with PLANTED[planted]():
-        world = play(draw_failing(seed) if failing else draw(seed))
-    found, answers = world.reference.breaches(), world.answers
+    with PLANTED_FAULTS[planted]():
+        world = run_schedule(draw_failing_schedule(seed) if failing else draw_schedule(seed))
+    found, answers = world.reference.breaches(), world.outcomes
     first = f"{found[0][1]} at {found[0][0]:.3f}, {found[0][2]:.3f} s after told" if found else ""
     return Verdict(seed, len(found), first, len(world.reference.pushes),
-                   answers[Ending.COMPLETED], answers[Ending.NACKED])  # fmt: skip
+                   answers[FinalOutcome.COMPLETED], answers[FinalOutcome.NACKED])  # fmt: skip
 
 
 def _more_patience() -> Any:
-    return mock.patch.multiple(Watch, PATIENCE=Watch.PATIENCE + 1.0, TOLD=Watch.TOLD + 1.0)
+    return mock.patch.multiple(
+        Watch,
+        RESPONSE_TIMEOUT_SECONDS=Watch.RESPONSE_TIMEOUT_SECONDS + 1.0,
+        MAX_STALENESS_SECONDS=Watch.MAX_STALENESS_SECONDS + 1.0,
+    )
 
 
 def _on_deciding_only() -> Any:
-    return mock.patch.object(Pushes, "_too_late", lambda self, backend, begin_by: False)
+    return mock.patch.object(PushDispatcher, "_is_expired", lambda self, backend, begin_by: False)
 
 
 def _odd_is_alive() -> Any:
-    call = Watch._call
+    call = Watch._poll
 
-    async def alive(self: Watch, wait: float) -> ListAnswer | None:
+    async def alive(self: Watch, wait: float) -> DiscoveryResponse | None:
         began = anyio.current_time()
         answer = await call(self, wait)
-        if answer is None and anyio.current_time() - began < wait + self.OVERDUE:
-            self.heard, self.deaf_at, self.off_since = began, math.inf, math.inf
-            return ListAnswer(self.version, ListKind.CHANGES, [], {})
+        if answer is None and anyio.current_time() - began < wait + self.SILENCE_THRESHOLD_SECONDS:
+            self.fresh_as_of, self.stale_deadline, self.unwatched_since = began, math.inf, math.inf
+            return DiscoveryResponse(self.version, ListKind.DELTA, [], {})
         return answer
 
-    return mock.patch.object(Watch, "_call", alive)
+    return mock.patch.object(Watch, "_poll", alive)
 
 
 def _anew_each_call() -> Any:
-    return mock.patch.object(Watch, "told_by", property(lambda self: self.asked + self.TOLD))
+    return mock.patch.object(
+        Watch, "stale_at", property(lambda self: self.poll_started_at + self.MAX_STALENESS_SECONDS)
+    )
 
 
 def _move_is_answer() -> Any:
@@ -193,27 +199,27 @@
 
     def moved(self: Watch, address: Any) -> None:
         move(self, address)
-        self.deaf_at, self.heard = math.inf, anyio.current_time()
+        self.stale_deadline, self.fresh_as_of = math.inf, anyio.current_time()
 
     return mock.patch.object(Watch, "move", moved)
 
 
 def _never_blind() -> Any:
-    return mock.patch.object(Watch, "told_by", property(lambda self: math.inf))
+    return mock.patch.object(Watch, "stale_at", property(lambda self: math.inf))
 
 
 def _refusal_is_no_silence() -> Any:
     """As the text before the term of six seconds: a refusal or a reset in its time missed nothing."""
-    call = Watch._call
+    call = Watch._poll
 
-    async def refused(self: Watch, wait: float) -> ListAnswer | None:
+    async def refused(self: Watch, wait: float) -> DiscoveryResponse | None:
         began = anyio.current_time()
         answer = await call(self, wait)
-        if answer is None and anyio.current_time() - began < wait + self.PATIENCE + 0.05:
-            self.heard = anyio.current_time()
+        if answer is None and anyio.current_time() - began < wait + self.RESPONSE_TIMEOUT_SECONDS + 0.05:
+            self.fresh_as_of = anyio.current_time()
         return answer
 
-    return mock.patch.object(Watch, "_call", refused)
+    return mock.patch.object(Watch, "_poll", refused)
 
 
 def _always_blind() -> Any:
@@ -226,7 +232,7 @@
     return mock.patch.object(Node, "on_list", on_list)
 
 
-PLANTED: dict[str, Callable[[], Any]] = {
+PLANTED_FAULTS: dict[str, Callable[[], Any]] = {
     "": nullcontext,
     "patience a second longer": _more_patience,
     "looked at on deciding only": _on_deciding_only,
@@ -244,7 +250,9 @@
 
 def run(count: int, planted: str, failing: bool = False, workers: int | None = None) -> list[Verdict]:
     with ProcessPoolExecutor(workers) as pool:
-        return list(pool.map(partial(judge, planted=planted, failing=failing), range(count), chunksize=4))
+        return list(
+            pool.map(partial(check_schedule, planted=planted, failing=failing), range(count), chunksize=4)
+        )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -253,7 +261,7 @@
     given = parser.parse_args(arguments)
     count, fewer = (2000, 400) if given.full else (300, 100)
     points = Points("told")
-    for name, failing in [(name, False) for name in PLANTED] + [(name, True) for name in FAILING]:
+    for name, failing in [(name, False) for name in PLANTED_FAULTS] + [(name, True) for name in FAILING]:
         seeds = fewer if name and name not in SERVICE else count
         verdicts = run(seeds, name, failing)
         broken = [verdict for verdict in verdicts if verdict.breaches]
@@ -268,7 +276,7 @@
         if not name:
             points.at_most(point, len(broken), 0, seeds_played, **more)
         elif name in SERVICE:
-            points.told(point, len(broken), seeds_played, **more)
+            points.record(point, len(broken), seeds_played, **more)
         else:
             points.at_least(point, len(broken), 1, seeds_played, **more)
     return points.close()
--- a/thornladder/node/companion.py
+++ b/thornladder/node/companion.py
@@ -1,7 +1,7 @@
-"""The seam for parts beside a node that know of other nodes: none of them under `python -m thornladder`.
+"""Interface for extensions of a node, such as membership of a fleet; `python -m thornladder` loads none.
 
-A companion decides nothing about invocations. It may tell the module of how many nodes it is one, and answer
-calls of operators; the node goes on serving whatever becomes of it.
+An extension decides nothing about invocations. It may tell the node how many nodes there are and serve admin
+endpoints; the node keeps serving if it fails.
 """
 
 from __future__ import annotations
@@ -9,45 +9,49 @@
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, Protocol
 
-from thornladder.node.admin.calls import Call, Verdict
-from thornladder.node.clients.connection import Taker
-from thornladder.node.clients.early import Decide
+from thornladder.node.admin.calls import AdminRequest, AdminResponse
+from thornladder.node.clients.connection import InvocationHandler
+from thornladder.node.clients.early import ShedPolicy
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Address
 
 
-class Further(NamedTuple):
-    """A call at the second address that a companion answers, at once."""
+class ExtensionEndpoint(NamedTuple):
+    """An admin endpoint of an extension; `handler` responds at once and must not block."""
 
     method: bytes
-    act: Callable[[Call], Verdict]
+    handler: Callable[[AdminRequest], AdminResponse]
 
 
-class Surroundings(NamedTuple):
-    """What a companion has of its node."""
+class NodeContext(NamedTuple):
+    """What a node gives to its extensions."""
 
     name: str
     seed: int
     folder: str  # private to the node, shared by its processes
-    nodes: int  # as the settings say
+    configured_nodes: int  # number of nodes in the settings
     admin: Address | None
     tasks: Tasks
     log: Any
-    set_nodes: Callable[[int], None]  # of how many nodes this is one, from now on
-    settings: Callable[[], dict[str, Any]]  # that are in force, in the operators' form
+    set_node_count: Callable[[int], None]  # overrides `configured_nodes` in the decisions
+    settings: Callable[[], dict[str, Any]]  # the settings in force, as in the configuration file
 
 
-class Companion(Protocol):
-    descriptors: int  # that it may hold at once
+class NodeExtension(Protocol):
+    """A part that runs beside the node in the same process."""
 
-    def calls(self) -> Mapping[str, Further]:
-        """By path."""
+    descriptors: int  # file descriptors that it holds at once, at most
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
-        """Who takes invocations and who turns them away unread: the same two, or such that look on."""
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
+        """The admin endpoints that it serves, by path."""
 
-    def start(self, around: Surroundings) -> None:
-        """Once, from within the node's event loop, before the node serves."""
+    def wrap(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
+        """Returns both unchanged, or wrapped so that the extension observes invocations."""
 
-    async def leave(self, succeeded: bool) -> None:
-        """The node has answered all that it had and ends; `succeeded`: another process of it goes on."""
+    def start(self, context: NodeContext) -> None:
+        """Called once within the node's event loop, before the node serves."""
+
+    async def stop(self, has_successor: bool) -> None:
+        """Called after the node has drained; `has_successor`: another process of the node keeps serving."""
--- a/thornladder/node/flow.py
+++ b/thornladder/node/flow.py
@@ -1,4 +1,4 @@
-"""A large body on its way through this node: one side gives parts, the other takes them, nothing piles up."""
+"""Streaming of large bodies through the node, with backpressure from the reader to the sender."""
 
 from __future__ import annotations
 
@@ -11,46 +11,49 @@
 
 from thornladder.node import streams
 
-COST = 256 * 1024  # bytes that a flow is counted with: a part here, one in each transport, as much in h11
-KERNEL = 64 * 1024  # bytes that the kernel may hold of a flow on each side
+# Memory counted for one streamed body: a part here, one in each transport, and as much again in h11.
+BODY_PIPE_BYTES = 256 * 1024
+KERNEL_BUFFER_BYTES = 64 * 1024  # for a streamed body, in each direction of each of its sockets
 
 
-class Flow:
-    """Holds one part. Whoever gives says at the end whether that was all; either side may leave."""
+class BodyPipe:
+    """Passes a body from a producer to a consumer, one part at a time; either side may leave early."""
 
     def __init__(self) -> None:
-        self._in, self._out = anyio.create_memory_object_stream[bytes](0)
-        self.whole = False
-        self.given_by: anyio.CancelScope | None = None  # of the task that gives, ended with the taker
+        self._sender, self._receiver = anyio.create_memory_object_stream[bytes](0)
+        self.complete = False  # whether the producer has sent the whole body
+        self.producer_scope: anyio.CancelScope | None = None  # cancelled when the consumer leaves
 
-    async def give(self, part: bytes) -> bool:
-        """Waits until the part is taken; False if nobody takes any more."""
+    async def send(self, part: bytes) -> bool:
+        """Waits until the consumer takes the part; returns False if it has left."""
         try:
-            await self._in.send(part)
+            await self._sender.send(part)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             return False
         return True
 
-    def end(self, whole: bool) -> None:
-        self.whole = self.whole or whole
-        self._in.close()
+    def finish(self, complete: bool) -> None:
+        """Ends the body on the producer's side; `complete` is False for a truncated one."""
+        self.complete = self.complete or complete
+        self._sender.close()
 
     async def parts(self) -> AsyncIterator[bytes]:
+        """Yields the parts until the producer finishes or the pipe is aborted."""
         with suppress(anyio.EndOfStream, anyio.ClosedResourceError):
             while True:
-                yield await self._out.receive()
+                yield await self._receiver.receive()
 
-    def drop(self) -> None:
-        """Takes nothing more."""
-        self._out.close()
-        self._in.close()
-        if self.given_by is not None:
-            self.given_by.cancel()
+    def abort(self) -> None:
+        """Ends the pipe on the consumer's side and cancels the producer."""
+        self._receiver.close()
+        self._sender.close()
+        if self.producer_scope is not None:
+            self.producer_scope.cancel()
 
 
-def narrow(stream: SocketStream) -> None:
-    """Little of a flow waits in the kernel: it counts as this node's memory there, too."""
+def limit_kernel_buffers(stream: SocketStream) -> None:
+    """Shrinks the kernel's buffers of a streamed body: the node is charged for their memory, too."""
     with suppress(Exception):
-        raw = streams.raw(stream)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
+        raw_socket = streams.raw_socket(stream)
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL_BUFFER_BYTES)
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL_BUFFER_BYTES)
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -13,11 +13,11 @@
 
 import anyio
 
-from thornladder.node.clients.connection import Taker
-from thornladder.node.clients.early import Decide
-from thornladder.node.companion import Further, Surroundings
+from thornladder.node.clients.connection import InvocationHandler
+from thornladder.node.clients.early import ShedPolicy
+from thornladder.node.companion import ExtensionEndpoint, NodeContext
 from thornladder.node.exchange import Exchange
-from thornladder.node.messages import Answer, Ending
+from thornladder.node.messages import ClientResponse, FinalOutcome
 
 
 class Flaw:
@@ -31,18 +31,24 @@
         self.count = 0
         self.held: list[bytearray] = []
 
-    def calls(self) -> Mapping[str, Further]:
+    def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {}
 
-    def between(self, taker: Taker, decide: Decide) -> tuple[Taker, Decide]:
-        self.taker = taker
-        self.whole, self.stuck, self.client_gone = taker.whole, taker.stuck, taker.client_gone
-        return self, decide
-
-    def start(self, around: Surroundings) -> None:
-        around.tasks.start("a planted fault", self._run)
-
-    async def leave(self, succeeded: bool) -> None:
+    def wrap(
+        self, handler: InvocationHandler, shed_policy: ShedPolicy
+    ) -> tuple[InvocationHandler, ShedPolicy]:
+        self.handler = handler
+        self.body_received, self.body_stalled, self.client_disconnected = (
+            handler.body_received,
+            handler.body_stalled,
+            handler.client_disconnected,
+        )
+        return self, shed_policy
+
+    def start(self, context: NodeContext) -> None:
+        context.tasks.start("a planted fault", self._run)
+
+    async def stop(self, has_successor: bool) -> None:
         """Nothing."""
 
     async def _run(self) -> None:
@@ -53,16 +59,16 @@
             self.held.append(bytearray(os.urandom(int(float(self.rest[0]) / 10))))
             await anyio.sleep(0.1)
 
-    def came(self, exchange: Exchange) -> bool:
+    def start_invocation(self, exchange: Exchange) -> bool:
         self.count += 1
         if self.kind == "tenth" and self.count >= 10:
             os._exit(3)
         if self.kind == "slow" and exchange.invocation.offering == self.rest[0]:
             time.sleep(float(self.rest[1]))
         if self.kind == "nack" and self.count % round(1.0 / float(self.rest[0])) == 0:
-            exchange.finish(Answer(Ending.NACKED))
+            exchange.finish(ClientResponse(FinalOutcome.NACKED))
             return True
-        return self.taker.came(exchange)
+        return self.handler.start_invocation(exchange)
 
 
 def main() -> int:
