--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -69,7 +69,7 @@
         self.zone, self.cell, self.weight = entry.zone, entry.cell, entry.weight
 
     def dedup_domain(self, scope: str) -> object:
-        """What backends have in common if each discards repeats of invocations that another one ran."""
+        """Backends with the same value discard repeats of each other's invocations (None: all of them)."""
         return self.zone if scope == "zone" else self.cell if scope == "cell" else None
 
 
@@ -185,7 +185,7 @@
         while (
             stride > 1 and sum(map(healthy, backends[self.rank % stride :: stride])) < 0.5 * self.MIN_BACKENDS
         ):
-            # When most of a subset fails at once, a larger one is used until it has recovered.
+            # With too few healthy backends a larger subset is used until enough have recovered.
             stride //= 2
         return backends[self.rank % stride :: stride]
 
@@ -200,8 +200,8 @@
 class Rotation:
     """Weighted round robin by earliest deadline first; an entry comes up once in 1/weight of virtual time."""
 
-    # Another backend replaces the one in turn only if its wait is this much shorter; among near equals the
-    # rotation decides.
+    # Another backend replaces the one in turn only if its expected wait is less than this fraction of the
+    # other's; among near equals the rotation decides.
     SHORTER_WAIT_RATIO = 0.75
 
     def __init__(self, rng: Random) -> None:
@@ -271,9 +271,10 @@
     """One push of an invocation; times and `cost`, the expected work, are in seconds."""
 
     outcome: Outcome | None = None
-    # Its offering and tenant; seconds that these wait for a dependency, at whichever backend.
+    # Its offering and tenant; seconds that these wait for a dependency, whichever backend serves them.
     labels, dependency_delay = ("", ""), 0.0
-    # Whether it counts against the concurrency limit, until its target time; later pushes that ended first.
+    # Whether it counts against the concurrency limit (a sweep may end that before the push ends); number of
+    # later pushes to the backend that completed first.
     counted, overtaken = True, 0
 
     def __init__(self, backend: Backend, sent_at: float, cost: float, queued_work: float, idle: bool) -> None:
@@ -319,22 +320,24 @@
 
     def __init__(self) -> None:
         self.in_flight: dict[tuple[str, int], Push] = {}
-        # Expected cost of what is in flight; when the last response came.
+        # Expected cost of what is in flight, in seconds; when the last response was received.
         self.outstanding_work, self.last_response_at = 0.0, 0.0
         self.latency = LatencyRatio(HealthTracker.MEMORY_SECONDS)
         self.cpu_utilization, self.cpu_reported_at = 0.0, -inf
         self.successes, self.errors, self.breaks = (
             DecayingSum(HealthTracker.MEMORY_SECONDS) for _ in range(3)
         )
-        # Whether a connection attempt failed since the last completed push; connection failures in a row.
+        # Whether a connection attempt failed since the last completed push; length of the current run of
+        # related connection failures; when the last one occurred.
         self.connect_failed, self.connection_failures, self.last_failure_at = False, 0, 0.0
         self.rejections, self.backoff_until = 0, 0.0
         self.ejection_cause = ""  # empty while it is not ejected
         self.ejected_at, self.next_trial_at, self.ejections, self.trial_in_flight = 0.0, 0.0, 0, False
         self.cold_pushes: deque[tuple[float, float]] = deque()  # during slow start: time and expected cost
-        # Other nodes' pushes in flight there by the last load report, and when that came.
+        # Other nodes' pushes in flight there by the last load report, and when that was received.
         self.others_in_flight, self.reported_at = 0.0, -inf
-        # The ejection cause that the last report shows; when the probe that is out was sent, else None.
+        # The ejection cause that the last report shows; when the probe in flight was sent (None: there is none,
+        # or it is a trial of an ejected backend).
         self.reported_failure, self.probe_sent_at = "", None
 
     def add_push(self, active: ActiveInvocation, push: Push) -> None:
@@ -352,32 +355,41 @@
     """Outlier detection and load estimation, by responses, their absence and load reports.
 
     Backends are ejected as `dead` (connections break or are not made), `hung` (no response to pushes or a
-    probe, or a report that shows none completed) or `erring` (responses are errors). Backends that are slow,
-    paused, short of CPU or full are not ejected: their expected wait grows, so that others are picked.
+    probe, or a load report that shows too few completions for what is in flight) or `erring` (responses are
+    errors). Backends that are slow, paused, short of CPU or full are not ejected: their expected wait grows,
+    so that others are picked.
     """
 
     MEMORY_SECONDS = 4.0  # dozens of responses at ten a second, and trouble is forgotten within ten seconds
-    # Responses to remember at least, as one may be heavy; the upper limit, as trouble lasts as long too.
+    # Minimum responses that the memory should hold, since one may be heavy; longest memory, since a recovered
+    # backend looks bad for as long.
     MIN_SAMPLES, MAX_MEMORY_SECONDS = 3.0, 16.0
-    # Responses that a prior counts for; longer responses, as a multiple, say no more about a whole zone.
+    # Weight of a prior, in responses; cap on observed/expected in a zone's mean, as longer responses say no
+    # more about a whole zone.
     PRIOR_SAMPLES, MAX_ZONE_SLOWNESS = 2.0, 4.0
     SILENCE_SECONDS = 0.35  # longer than a garbage collector's pause, shorter than any client waits
-    # Well above a healthy backend's share; a fifth, as more errors everywhere mean an overload.
+    # Share of errors that ejects, well above a healthy backend's; up to a fifth of it is discounted as common
+    # to all backends, as more errors everywhere mean an overload.
     MAX_ERROR_SHARE, COMMON_ERROR_SHARE = 0.25, 0.05
     MIN_LABEL_SAMPLES = 1.0  # recent responses of an offering or tenant: fewer show no dependency delay
-    IDLE_CPU, SATURATED_CPU = 0.7, 0.85  # below the first nothing waits for a core; above, waits up to double
+    # Below IDLE_CPU nothing waits for a core; above SATURATED_CPU the expected wait rises, to double at 1.0.
+    IDLE_CPU, SATURATED_CPU = 0.7, 0.85
     CPU_REPORT_TTL_SECONDS = 4.0  # as long as the health memory
     # A backend that has answered within this time and takes no connection is only short of connections.
     RECENT_RESPONSE_SECONDS = 1.0
-    # Probability that a healthy backend has this many breaks in a row; the limit while others fail too.
+    # Accepted probability of ejecting a healthy backend for a run of connection failures; upper bound of the
+    # run length needed, which rises when other backends fail too.
     FALSE_POSITIVE_RATE, MAX_CONNECTION_FAILURES = 0.001, 4
-    # Overtaken by more pushes than a second worker explains: the response is lost and shows no queue.
+    # A push overtaken by this many later ones has lost its response, which shows no queue: a second worker at
+    # the backend would explain fewer.
     LOST_OVERTAKES = 2
-    REJECTIONS_BEFORE_BACKOFF = 3  # in a row: at a rejection rate of one half chance seldom makes more
+    REJECTIONS_BEFORE_BACKOFF = 3  # in a row: random rejections, even at one half, seldom make more
     PROBE_SILENCE_SECONDS = 0.1  # probes return within a few hundredths unless the backend has gone silent
-    # How long a stuck backend's invocations stay, by when all are late; decay of a load report, to 1/e.
+    # Mean time in the backend (in flight / completion rate) above which it is stuck, as its invocations are
+    # all late by then; time constant of a load report's decay.
     STUCK_SECONDS, REPORT_DECAY_SECONDS = 2.0, 0.5
-    BASE_EJECTION_SECONDS, MAX_EJECTION_SECONDS = 1.0, 4.0  # until the first trial; doubles up to the second
+    # Initial time until a trial, which doubles after each failed one; its upper bound.
+    BASE_EJECTION_SECONDS, MAX_EJECTION_SECONDS = 1.0, 4.0
 
     def __init__(self, rng: Random, log: Callable[[str], None]) -> None:
         self.rng, self.log = rng, log
@@ -390,15 +402,16 @@
         # Of all backends.
         self.successes, self.errors, self.breaks = (DecayingSum(self.MEMORY_SECONDS) for _ in range(3))
         self.ejected_count, self.slowest_response, self.slowest_response_at = 0, 0.0, 0.0
-        # Stands in for the slowest response until there is one: the shortest target time, and since when.
+        # Initial estimate of the slowest response: the shortest target time, and when it was set. Decays like
+        # `slowest_response`, with a time constant of 10 s.
         self.initial_slowest = 0.0, 0.0
-        # Of all backends: invocations that each holds by reports, lately and usually; response times.
+        # Means over all backends: in flight at each by load reports, recently and usually; response times.
         self.reported_in_flight, self.usual_in_flight, self.response_time = (
             DecayingMean(1.0),
             DecayingMean(30.0),
             DecayingMean(30.0),
         )
-        # A cache by zone, and the time and cost that it is valid for.
+        # Slowness by zone, cached, and the time and cost for which the cache is valid.
         self.zone_priors, self.zone_priors_key = {}, None
 
     def set_memory(self, backends: list[Backend], rate: float) -> None:
@@ -433,17 +446,20 @@
         )
 
     def stats_of(self, backend: Backend) -> BackendStats:
-        """What this node has observed of a backend; begins a record for a new one."""
+        """What this node has observed of a backend; creates an empty record if there is none."""
         return self.stats[backend.id]
 
     def cost(self, offering: Offering, now: float) -> float:
-        """Seconds for which an invocation keeps a typical backend busy, by pushes that found it idle."""
-        # The guess counts as one sample, and alone until there are others.
+        """Seconds for which an invocation keeps a typical backend busy, learned from pushes to idle ones."""
+        # The guess counts as one sample, and is the only one at first.
         mean, guess = self.offering_cost[offering.name], offering.target_time / 5.0
         return (mean.total.read(now) + guess) / (mean.count.read(now) + 1.0)
 
     def dependency_delay(self, active: ActiveInvocation, now: float) -> float:
-        """Seconds that this offering or tenant takes beyond the fastest one; 0 if that makes it not late."""
+        """Excess response time of this offering or tenant over that of the fastest one, in seconds.
+
+        0 if it is too small to make an answer late.
+        """
         delay = 0.0
         for means, name in zip(self.excess_latency, active.labels, strict=True):
             sampled = {
@@ -486,27 +502,28 @@
         return wait
 
     def expected_work(self, stats: BackendStats, cost: float, now: float) -> float:
-        """Seconds of work that a push finds at a backend, its own included, relative to the usual load.
+        """Seconds of work queued at a backend, this push included.
 
-        Load reports decay towards the mean of all backends.
+        Where load reports come, it is divided by the usual number of invocations there plus one. A report
+        decays towards the mean of all backends.
         """
         if not self.usual_in_flight.count.value:
             return stats.outstanding_work + cost
-        usual, others = self.usual_in_flight.read(now), self.reported_in_flight.read(now)
+        usual_load, others = self.usual_in_flight.read(now), self.reported_in_flight.read(now)
         others += (stats.others_in_flight - others) * exp(
             (stats.reported_at - now) / self.REPORT_DECAY_SECONDS
         )
-        return (stats.outstanding_work + (others + 1.0) * cost) / (usual + 1.0)
+        return (stats.outstanding_work + (others + 1.0) * cost) / (usual_load + 1.0)
 
     def on_report(self, backend: Backend, report: api.LoadReport, now: float) -> None:
-        """Take in a load report, and eject on one that shows a failure before pushes are spent to find it."""
+        """Apply a load report; one that shows a failure ejects, before pushes are spent to detect it."""
         stats, in_flight, rate = self.stats_of(backend), report.in_flight, report.completion_rate
         if in_flight is None:
             return
         stats.others_in_flight, stats.reported_at = max(in_flight - len(stats.in_flight), 0.0), now
         errors = report.error_rate or 0.0
-        ends = errors + ((in_flight + 1.0) / self.SILENCE_SECONDS if rate is None else rate)
-        erring = errors > 1.0 and errors > self.MAX_ERROR_SHARE * ends
+        end_rate = errors + ((in_flight + 1.0) / self.SILENCE_SECONDS if rate is None else rate)
+        erring = errors > 1.0 and errors > self.MAX_ERROR_SHARE * end_rate
         # By Little's law.
         stuck = in_flight >= 4.0 and rate is not None and in_flight > self.STUCK_SECONDS * rate
         stats.reported_failure = "erring" if erring else "hung" if stuck else ""
@@ -517,26 +534,31 @@
             self.usual_in_flight.add(in_flight, now)
 
     def _failure_shares(self, source: BackendStats | HealthTracker, now: float) -> tuple[float, float]:
-        """Shares of recent ends: errors, and broken connections beyond the share that all backends have."""
-        ends = source.successes.read(now) + source.errors.read(now) + source.breaks.read(now) + 1.0
+        """Shares of recently ended pushes: errors, and broken connections beyond all backends' share."""
+        end_count = source.successes.read(now) + source.errors.read(now) + source.breaks.read(now) + 1.0
         common = self.breaks.read(now) / (
             self.successes.read(now) + self.errors.read(now) + self.breaks.value + 1.0
         )
-        return source.errors.value / ends, max(source.breaks.value / ends - common, 0.0)
+        return source.errors.value / end_count, max(source.breaks.value / end_count - common, 0.0)
 
     def _failures_needed(self, stats: BackendStats, now: float) -> int:
-        """Connection failures in a row that are no chance, given how often connections break elsewhere."""
+        """Run of connection failures too long for chance, given how often connections break elsewhere."""
         breaks = self.breaks.read(now) - stats.breaks.read(now)
-        ends = breaks + self.successes.read(now) - stats.successes.read(now) + 1.0
-        usual = min(max(breaks / ends, 1e-9), 0.9)
-        return min(max(ceil(log(self.FALSE_POSITIVE_RATE) / log(usual)), 2), self.MAX_CONNECTION_FAILURES)
+        end_count = breaks + self.successes.read(now) - stats.successes.read(now) + 1.0
+        usual_break_ratio = min(max(breaks / end_count, 1e-9), 0.9)
+        return min(
+            max(ceil(log(self.FALSE_POSITIVE_RATE) / log(usual_break_ratio)), 2), self.MAX_CONNECTION_FAILURES
+        )
 
     def recent_slowest(self, now: float) -> float:
         """The slowest recent response: one heavy invocation keeps a backend silent for that long."""
         return self.slowest_response * exp((self.slowest_response_at - now) / 10.0)
 
     def pickable(self, backend: Backend, now: float, panic: bool = False) -> bool:
-        """Whether a backend is neither ejected nor in backoff; in panic mode only dead ones are left out."""
+        """Whether a backend is neither ejected nor in backoff.
+
+        In panic mode backends ejected for any cause but `dead` are pickable too.
+        """
         stats = self.stats[backend.id]
         return (
             not stats.ejection_cause
@@ -546,7 +568,7 @@
         )
 
     def on_push_ended(self, key: tuple[str, int], push: Push, offering: Offering, now: float) -> str:
-        """Take in an outcome. Returns the cause of the ejection that it ends, or an empty string."""
+        """Record how a push ended. Returns the cause of the ejection that it ends, or an empty string."""
         stats = self.stats_of(push.backend)
         was_in_flight = stats.in_flight.pop(key, None) is not None
         stats.outstanding_work = (
@@ -621,15 +643,15 @@
         slowest = max(
             self.recent_slowest(now), self.initial_slowest[0] * exp((self.initial_slowest[1] - now) / 10.0)
         )
-        usual = max(self.SILENCE_SECONDS, min(1.5 * slowest, 3.0 * self.SILENCE_SECONDS))
+        silence_limit = max(self.SILENCE_SECONDS, min(1.5 * slowest, 3.0 * self.SILENCE_SECONDS))
         for backend in backends:
             stats = self.stats[backend.id]
-            limit = usual if len(stats.in_flight) > 1 else 2.0 * usual
+            limit = silence_limit if len(stats.in_flight) > 1 else 2.0 * silence_limit
             if stats.in_flight and not stats.ejection_cause and stats.silence(now) > limit:
                 self._eject(backend, stats, "hung", now)
 
     def on_probe_ended(self, backend: Backend, outcome: Outcome, now: float) -> str:
-        """Take in a probe's outcome. Returns the cause of the ejection that it ends, or an empty string."""
+        """Record a probe's outcome. Returns the cause of the ejection that it ends, or an empty string."""
         stats = self.stats_of(backend)
         probe_sent_at, stats.trial_in_flight, stats.probe_sent_at = stats.probe_sent_at, False, None
         stats.connect_failed |= outcome is Outcome.UNREACHABLE
@@ -651,7 +673,10 @@
         return stats.ejection_cause != "" and now >= stats.next_trial_at and not stats.trial_in_flight
 
     def in_panic(self, entries: list[RotationEntry]) -> bool:
-        """Whether more than half is ejected, which must have another cause: then only the dead stay out."""
+        """Whether more than half are ejected, which points to a common cause.
+
+        Then only `dead` ejections are honoured.
+        """
         return self.ejected_count > 0 and 2 * sum(
             self.stats_of(entry.backend).ejection_cause != "" for entry in entries
         ) > len(entries)
@@ -662,9 +687,10 @@
             self.log(f"ejected {backend.id}: {cause}")
         elif now < stats.next_trial_at:
             return
-        # A process that broke its connections has restarted, whatever else it was ejected for.
+        # Once connections fail, the cause stays `dead`, whatever else it was ejected for, as the process may
+        # have restarted.
         stats.ejection_cause = "dead" if "dead" in (cause, stats.ejection_cause) else cause
-        # Clearing the flag voids a trial that is out: it would block the next one for good.
+        # Clearing the flag voids a trial in flight, which would otherwise block the next one for good.
         ejection = min(self.BASE_EJECTION_SECONDS * 2.0**stats.ejections, self.MAX_EJECTION_SECONDS)
         stats.trial_in_flight, stats.ejections = False, stats.ejections + 1
         # With jitter, so that many nodes do not try a backend at the same time.
@@ -686,32 +712,37 @@
     An adaptive concurrency limit: it grows while pushes end in time and shrinks while many are late.
     """
 
-    # Of the target time: an expected wait beyond it is rejected, for the least and for the most utility.
+    # Fraction of the target time: an expected wait beyond it leads to rejection, at rank 0 and at rank 1.
     MIN_WAIT_SHARE, MAX_WAIT_SHARE = 0.25, 0.6
-    # Of the limit, open to any utility, so that a flood of little worth still leaves room for the least.
+    # Fraction of the limit open to invocations of any utility. The rest opens with the rank, so that a flood
+    # of nearly worthless ones leaves room even for others of low utility.
     OPEN_SHARE = 0.3
-    # Of the target time: pushes that take longer are late, since queues slow backends by then (incident
-    # if777b3). It is less with load reports, which even the queues out.
+    # Fraction of the target time: a push that takes longer than its cost plus this is late, since queues slow
+    # backends by then (incident if777b3). Less with load reports, which even the queues out.
     LATE_SHARE, LATE_SHARE_WITH_REPORTS = 0.3, 0.2
-    # Share of late pushes that lowers the limit: more than a slow fifth of the fleet makes. From half of it
-    # on, hedged copies do harm.
+    # Share of late pushes above which the limit is lowered: more than a slow fifth of the fleet causes. From
+    # half of it on, hedges do harm.
     MAX_LATE_RATIO, CONGESTED_LATE_RATIO = 0.3, 0.15
-    # Of the span looked back on, so that the effect of a decrease is seen before the next one.
+    # Minimum time between decreases of the limit, as a fraction of the span looked back on: the effect of one
+    # is seen before the next.
     DECREASE_PAUSE = 0.2
     MIN_LIMIT_PER_BACKEND = 1.0  # with fewer nothing queues, so that late answers have another cause
     MIN_SPAN_INVOCATIONS = 16.0  # a span with fewer tells nothing of how many pushes are in flight or late
-    # Growth in a second, per backend or as a part of the limit, so that it follows a surge.
+    # Growth of the limit in a second: pushes per backend, or a fraction of the limit if that is more, so that
+    # it follows a surge.
     GROWTH_PER_BACKEND, GROWTH_RATIO = 1.0, 0.25
-    # Pushes per backend, or a multiple of what is sustained, whichever is more: for a surge, but no queue.
+    # Upper bound of the limit: pushes per backend, or a multiple of what has been sustained, whichever is
+    # more. Leaves room for a surge but not for a queue.
     MAX_LIMIT_PER_BACKEND, MAX_SUSTAINED_RATIO = 6.0, 2.0
     INITIAL_LIMIT_PER_BACKEND = 2.0  # one in work and one that waits: more would queue for long
-    # Tokens that a tenant may save up at least, as light traffic clusters by chance; well under a surge.
+    # Minimum size of a tenant's bucket in tokens, since light traffic clusters by chance, but well under a
+    # surge; longest look-back, and time constant of the arrival rate.
     MIN_BURST, MAX_SPAN_SECONDS = 5.0, 5.0
 
     def __init__(self) -> None:
         self.arrivals_by_offering: defaultdict[str, float] = defaultdict(float)
         self.tenant_tokens: dict[str, tuple[float, float]] = {}  # tokens left, and when they were counted
-        # The highest recent utility for a second of work; how many backends are this node's part.
+        # The highest recent utility per second of work; number of backends that fall to this node.
         self.best_utility_rate, self.backend_share = 0.0, 0.0
         self.concurrency_limit = inf  # pushes that this node may have in flight; may be under one
         self.arrivals, self.span = DecayingSum(self.MAX_SPAN_SECONDS), self.MAX_SPAN_SECONDS
@@ -720,25 +751,25 @@
         self.mean_in_flight = self.mean_updated_at = self.decreased_at = self.ended_at = 0.0
 
     def configure(self, settings: api.DecisionSettings) -> None:
-        """Apply new settings; what was learned stays."""
+        """Apply new settings; learned values are kept."""
         self.tenant_rates = {tenant.name: tenant.allowance / settings.nodes for tenant in settings.tenants}
         self.over_share_worth, self.utility_by_work = settings.over_share_worth, settings.utility_by_work
-        self.uneven_traffic, self.initial_limit = (
+        self.has_load_probes, self.initial_limit_per_backend = (
             settings.limits.probes_per_invocation > 0.0,
             self.INITIAL_LIMIT_PER_BACKEND,
         )
-        self.late_share = self.LATE_SHARE_WITH_REPORTS if self.uneven_traffic else self.LATE_SHARE
-        self.worst_offering = settings.worst_offering if self.uneven_traffic else 0.0
+        self.late_share = self.LATE_SHARE_WITH_REPORTS if self.has_load_probes else self.LATE_SHARE
+        self.worst_offering_weight = settings.worst_offering if self.has_load_probes else 0.0
         self.utilities = {offering.name: offering.utility for offering in settings.offerings}
         self.max_utility, self.min_utility = max(self.utilities.values()) or 1.0, min(self.utilities.values())
 
     def resize(self, backend_share: float, now: float) -> None:
-        """Scale the limit to this node's part of the backends, and the span to its traffic."""
-        if self.uneven_traffic or self.concurrency_limit == inf:
+        """Scale the limit to this node's share of the backends, and the span to its traffic."""
+        if self.has_load_probes or self.concurrency_limit == inf:
             self.concurrency_limit = (
                 self.concurrency_limit * backend_share / self.backend_share
                 if self.backend_share
-                else self.initial_limit * backend_share or inf
+                else self.initial_limit_per_backend * backend_share or inf
             )
         self.backend_share = backend_share
         self.span = min(self.MIN_SPAN_INVOCATIONS / max(self.arrival_rate(now), 1e-6), self.MAX_SPAN_SECONDS)
@@ -760,7 +791,7 @@
         return self.mean_in_flight
 
     def rank(self, active: ActiveInvocation) -> float:
-        """Utility of an invocation for the work that it makes, relative to the best there is, from 0 to 1."""
+        """Utility of an invocation per unit of work, relative to the highest, from 0 to 1."""
         part = self.over_share_worth if active.over_share else 1.0
         if active.invocation.is_retry:
             # The target time of the first try has most likely passed.
@@ -770,26 +801,32 @@
     def offering_rank(self, offering: Offering, cost: float, part: float = 1.0) -> float:
         """The rank of any invocation of an offering that earns `part` of its utility."""
         utility = self.effective_utility(offering) * part
-        if self.utility_by_work:
+        if self.utility_by_work:  # the settings give it per unit of work already
             return utility / self.max_utility
         utility /= max(cost, 1e-6)
         self.best_utility_rate = max(self.best_utility_rate * 0.999, utility)
         return utility / self.best_utility_rate if self.best_utility_rate else 0.0
 
     def effective_utility(self, offering: Offering) -> float:
-        """Its utility; that of the least is raised by what the worst-served offering counts for by itself."""
-        if not (self.worst_offering and self.arrivals_by_offering) or offering.utility > self.min_utility:
+        """The offering's utility; for the lowest it is raised by the weight of the worst-served offering."""
+        if (
+            not (self.worst_offering_weight and self.arrivals_by_offering)
+            or offering.utility > self.min_utility
+        ):
             return offering.utility
         total = sum(
             count * self.utilities.get(name, 0.0) for name, count in self.arrivals_by_offering.items()
         )
-        alone = total / max(self.arrivals_by_offering[offering.name], 1.0)
-        return min(offering.utility + self.worst_offering * (alone - offering.utility), self.max_utility)
+        utility_per_own_arrival = total / max(self.arrivals_by_offering[offering.name], 1.0)
+        return min(
+            offering.utility + self.worst_offering_weight * (utility_per_own_arrival - offering.utility),
+            self.max_utility,
+        )
 
     def on_arrival(self, active: ActiveInvocation, now: float) -> None:
         """Count an invocation and take a token from its tenant's bucket.
 
-        The bucket fills at this node's part of the tenant's allowance.
+        The bucket fills at this node's share of the tenant's allowance.
         """
         self.arrivals.add(1.0, now)
         self.arrivals_by_offering[active.offering.name] += 1.0
@@ -798,7 +835,8 @@
         active.labels = active.offering.name, "" if rate is None else active.invocation.tenant
         if rate is None or active.invocation.is_retry:
             return
-        # A second's allowance may be under one token: a light tenant's traffic would all be over share.
+        # A bucket of one second's allowance may hold less than a token: all of a light tenant's traffic would be
+        # over share.
         burst = max(rate, self.MIN_BURST)
         tokens, counted_at = self.tenant_tokens.get(active.invocation.tenant, (burst, now))
         tokens = min(tokens + rate * (now - counted_at), burst)
@@ -865,18 +903,21 @@
     Without it such a node would read everything late and answer nothing in time.
     """
 
-    # Of the shortest target time: the delay aimed at before input is read. Enough to measure, little to lose.
+    # Target of the read delay, as a fraction of the shortest target time: long enough to measure, and little
+    # of an invocation's time.
     TARGET_DELAY_SHARE = 0.25
-    # Change of the pressure in a second, at twice the target and at no delay: both act within some tenths.
+    # Change of the pressure in a second, at twice the target delay or more and at none: both act within a few
+    # tenths of a second.
     RISE_PER_SECOND, FALL_PER_SECOND = 2.0, 1.0
-    # What one observation counts for at most, as between two timers: a single stall is no overload.
+    # Longest time that one observation counts for, about that between two timers: a single stall is no
+    # overload.
     MAX_STEP_SECONDS = 0.03
 
     def __init__(self, target_delay: float = 1.0) -> None:
         self.target_delay, self.pressure, self.updated_at = self.TARGET_DELAY_SHARE * target_delay, 0.0, 0.0
 
     def observe(self, delay: float, now: float) -> None:
-        """Adapt the pressure to a read delay of so many seconds."""
+        """Adapt the pressure to a read delay of `delay` seconds."""
         step_seconds, self.updated_at = (
             min(now - self.updated_at, self.MAX_STEP_SECONDS),
             max(now, self.updated_at),
@@ -886,26 +927,30 @@
         self.pressure = min(max(self.pressure + step, 0.0), 1.0)
 
     def should_shed(self, rank: float, rng: Random) -> bool:
-        """Shed the least utility first: all of it at a pressure of one half, everything at one."""
+        """Whether to shed: rank 0 always from a pressure of one half on, every rank at a pressure of one."""
         return self.pressure > 0.0 and rng.random() < 2.0 * self.pressure - rank
 
 
 class RetryPolicy:
     """How often an invocation may be pushed again."""
 
-    # Where the site states none: a dead backend's share of a second or so, and the customary ratio.
+    # Where the site states none: the floor covers a dead backend's share of about a second of traffic; the
+    # ratio is the customary one.
     DEFAULT_BUDGET = api.RetryBudgetRule(floor=10.0, ratio=0.2, window=10.0)
 
     max_pushes, max_utility = 1, 1.0
 
     def allows(self, active: ActiveInvocation) -> bool:
-        """The least utility gets one further push, the most all that are permitted, a streaming one none."""
+        """Whether another push is allowed: two in all at no utility, `max_pushes` at the highest.
+
+        A streaming invocation is never retried.
+        """
         max_pushes = 2 + round((self.max_pushes - 2) * min(active.offering.utility / self.max_utility, 1.0))
         return not active.invocation.streaming and len(active.pushes) < max_pushes
 
 
 class ActiveInvocation:
-    """An invocation that this node has taken and not finished with."""
+    """An invocation that is not answered yet or still has pushes in flight."""
 
     def __init__(self, invocation: Invocation, offering: Offering, cost: float, now: float) -> None:
         self.invocation, self.offering, self.cost, self.labels = (
@@ -916,25 +961,26 @@
         )
         self.cut_off = now + invocation.time_left
         self.pushes: list[Push] = []
-        # Sets the deduplication domain and starts the window, even if it never ran (incident i8af787).
-        self.first_push: Push | None = None
+        # The latest push sent while no earlier one could have run. It sets the deduplication domain and
+        # starts the window, even if it turns out not to have run (incident i8af787).
+        self.dedup_origin_push: Push | None = None
         self.in_flight, self.next_check_at = 0, now
         self.answered = self.over_share = self.moving = False  # moving: cancelled to be pushed elsewhere
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any push is in flight or ended in a way that leaves it open."""
+        """Whether any push is in flight or ended without proof that it did not run."""
         return any(push.outcome is None or not push.outcome.never_ran for push in self.pushes)
 
     @property
     def push_deadline(self) -> float:
-        """By when a further push must have begun: for a tagged one that may have run, within its window."""
+        """Time by which a further push must begin: in the dedup window, if a tagged one may have run."""
         if self.offering.idempotency is Idempotency.REPEATABLE or not self.may_have_run:
             return inf
         return (
             -inf
             if self.offering.idempotency is Idempotency.ONCE_ONLY
-            else self.first_push.sent_at + self.offering.dedup_window
+            else self.dedup_origin_push.sent_at + self.offering.dedup_window
         )
 
 
@@ -943,9 +989,10 @@
 
     REBUILD_SECONDS = 1.0  # between rebuilds of the rotation
     SWEEP_SECONDS = 0.025  # between checks of unanswered pushes: a tenth of the shortest usual target time
-    # Of the target time: another zone must be quicker by this much, since crossing zones has a price.
+    # Fraction of the target time by which a backend of another zone must be faster, as crossing zones has a
+    # price.
     CROSS_ZONE_SHARE = 0.3
-    # No answer takes less; a load report younger than this is not worth the price of a new one.
+    # No answer takes less than the first; a load report younger than the second is not worth a new probe.
     MIN_TIME_LEFT_SECONDS, FRESH_REPORT_SECONDS = 0.005, 0.05
     WATCH_RETRY_SECONDS = 0.25  # mean delay before a failed watch is begun anew
 
@@ -962,20 +1009,22 @@
         self.retry_policy, self.overload, self.active = RetryPolicy(), OverloadController(), {}
         self.retry_budget = RetryBudget(RetryPolicy.DEFAULT_BUDGET)
         self.on_settings(now, **settings)
-        self.admission.initial_limit = (
-            min(limit_per_backend, AdmissionControl.MAX_LIMIT_PER_BACKEND) or self.admission.initial_limit
+        self.admission.initial_limit_per_backend = (
+            min(limit_per_backend, AdmissionControl.MAX_LIMIT_PER_BACKEND)
+            or self.admission.initial_limit_per_backend
         )
         # Tokens for load probes; pushes in flight that are not overdue.
         self.probe_tokens, self.in_flight, self.started_at = 0.0, 0, now
         host.set_timer(self.REBUILD_SECONDS * self.rng.random(), "interval")
         self.sweep_pending = False
-        # From when changes that this node has not received bind it; the same by the host's view of the watch.
+        # Time from which the list is too old to push by; the same limit as the host derives it from a silent
+        # watch (inf: none).
         self.list_stale_at = self.silence_stale_at = inf
         if self.must_ask_in < inf:
             self._watch_list(now)
 
     def on_settings(self, now: float, **settings: object) -> None:
-        """Apply new settings. What was learned stays; active invocations keep the offering they came with."""
+        """Apply new settings. Learned values are kept; active invocations keep their offering's settings."""
         applied = api.DecisionSettings(**settings)
         self.zone, self.subset.rank, self.nodes = applied.zone, applied.rank, applied.nodes
         self.limits, self.slow_start_rule, self.must_ask_in = (
@@ -1008,17 +1057,18 @@
     def on_list(
         self, now: float, kind: ListKind, entries: list[Entry], silence_stale_at: float = inf
     ) -> None:
-        """Apply a list, or begin a new watch after a failed one.
+        """Apply a list, or schedule a new watch after a failed one.
 
-        `silence_stale_at` is when changes that a silent watch may have missed count as received.
+        `silence_stale_at` is the time from which the node must assume that a silent watch has missed changes.
         """
         if kind is ListKind.UNAVAILABLE:
-            # With jitter, so that nodes do not call a struggling list service in step; soon, as changes bind.
+            # With jitter, so that nodes do not call a struggling list service in step; soon, since the list
+            # goes stale meanwhile.
             self.silence_stale_at = silence_stale_at
             wait = min(self.WATCH_RETRY_SECONDS, 0.25 * self.must_ask_in)
             self.host.set_timer(wait * (0.5 + self.rng.random()), "watch")
-            # A node is held to changes MustAskIn after its watch breaks; after a failed call four times that,
-            # counted from the start of the call.
+            # The list goes stale `must_ask_in` s after a working watch breaks; after a failed call four times
+            # that after the call's start, hence three times from now, as the call takes up to one.
             self.list_stale_at = min(
                 now + self.must_ask_in * (1.0 if self.list_stale_at == inf else 3.0), silence_stale_at
             )
@@ -1029,11 +1079,11 @@
         self._rebuild(now)
 
     def on_invocation(self, now: float, invocation: Invocation) -> None:
-        """Take an invocation: push it, or nack it at once."""
+        """Accept an invocation: push it, or nack it at once."""
         offering = self.offerings[invocation.offering]
         self.retry_budget.invocations.add(1, now, now)
         if invocation.time_left <= self.MIN_TIME_LEFT_SECONDS:
-            # A node short of CPU must not spend it on what can no longer be answered.
+            # A node short of CPU must not spend it on invocations that can no longer be answered in time.
             self._give_up(ActiveInvocation(invocation, offering, 0.0, now), now)
             return
         active = ActiveInvocation(invocation, offering, self.health.cost(offering, now), now)
@@ -1050,14 +1100,14 @@
         self._probe_for_load(now)
 
     def on_whole(self, now: float, id: str, time_left: float) -> None:
-        """The last byte of a streaming invocation has come: its time starts, and its push is in flight."""
+        """The last byte of a streaming invocation was received: its time starts, its push is in flight."""
         if (active := self.active.get(id)) is not None and active.in_flight:
             active.cut_off, push = now + time_left, active.pushes[-1]
             push.sent_at = now
             self.health.stats_of(push.backend).add_push(active, push)
 
     def on_late(self, now: float, delay: float) -> None:
-        """The host handled something so many seconds late."""
+        """The host handled an event `delay` seconds late."""
         self.overload.observe(delay, now)
 
     def shed_unread(self, now: float, offering: str, time_left: float, waited: float) -> float | None:
@@ -1098,8 +1148,8 @@
         if (outcome is Outcome.COMPLETED or timed_out) and not (
             unrelated or self.health.dependency_delay(active, now)
         ):
-            in_time = push.cost + self.admission.late_share * active.offering.target_time
-            late = (timed_out or elapsed > in_time) and not self.health.cpu_idle(now)
+            late_after_seconds = push.cost + self.admission.late_share * active.offering.target_time
+            late = (timed_out or elapsed > late_after_seconds) and not self.health.cpu_idle(now)
             self.admission.on_push_ended(late, self.in_flight, now)
         self._release(push, now)
         cause = self.health.on_push_ended((id, number), push, active.offering, now)
@@ -1112,7 +1162,7 @@
         self._forget_if_done(active)
 
     def on_answer_started(self, now: float, id: str, number: int) -> None:
-        """The client is receiving the answer: from here on the push is neither hedged nor moved."""
+        """The client is receiving the answer: from now on the push is neither hedged nor moved."""
         if id in self.active:
             self.active[id].next_check_at = inf
 
@@ -1153,8 +1203,8 @@
             self._watch_list(now)
 
     def may_push(self, active: ActiveInvocation, backend: Backend, now: float) -> bool:
-        """Whether the rules let this invocation go to this backend now."""
-        # Backends that began to drain once the list is stale are unknown here, yet count as announced.
+        """Whether the rules allow pushing this invocation to this backend now."""
+        # With a stale list this node may not know of drains that it must already respect: it pushes nowhere.
         if (
             active.answered
             or not backend.usable
@@ -1168,9 +1218,9 @@
         ):
             return False
         scope, deadline = active.offering.dedup_scope, active.push_deadline
-        elsewhere = deadline < inf and backend.dedup_domain(scope) != active.first_push.backend.dedup_domain(
+        elsewhere = deadline < inf and backend.dedup_domain(
             scope
-        )
+        ) != active.dedup_origin_push.backend.dedup_domain(scope)
         if now >= deadline - self.MIN_TIME_LEFT_SECONDS or elsewhere:
             return False
         return backend.ramp_start is None or self._cold_budget_allows(backend, active.cost, now)
@@ -1183,13 +1233,13 @@
         return not active.answered and (dedup_anywhere or active.push_deadline == inf)
 
     def _cold_rate(self, backend: Backend, now: float) -> float:
-        """This node's part of the work a second that a backend in slow start bears."""
+        """Seconds of work per second that this node may push to a backend in slow start."""
         largest = max((entry.backend.weight or 1.0 for entry in self.rotation.entries), default=1.0) or 1.0
         size = 1.0 if backend.weight is None else min(1.0, (backend.weight or largest) / largest)
-        # Half, since costs vary and the ramp may run at up to twice the capacity that is certain. Of that, N
-        # pushes, three quarters at most: where many nodes admit pushes by chance, their number spreads around
-        # its mean M by the root of M, and from 0.75 N it is four of these or more, whatever N is, to
-        # N + 2 * sqrt(N) + 2, which the backend bears.
+        # Half of the ramp's capacity, since costs vary and the ramp may run at up to twice the certain one.
+        # At most three quarters of the certain capacity (N pushes): where many nodes admit pushes at random,
+        # their total is Poisson-like with mean M and deviation sqrt(M). With M = 0.75 N, for any N, about
+        # four deviations above M stay within N + 2*sqrt(N) + 2, which the backend can take.
         half = 0.5 * self.slow_start.ratio(backend, now)
         return (
             min(half, 0.75 * max(half, self.slow_start.initial_ratio))
@@ -1199,7 +1249,7 @@
         )
 
     def _cold_budget_allows(self, backend: Backend, cost: float, now: float) -> bool:
-        """Whether that part, over any window of the rule's length, has room for `cost` or is unused."""
+        """Whether `cost` fits into this node's cold rate over the rule's window, or the window is empty."""
         sent = self.health.stats_of(backend).cold_pushes
         while sent and sent[0][0] <= now - self.slow_start_rule.overload_window:
             sent.popleft()
@@ -1207,10 +1257,10 @@
         return not sent or spent <= self._cold_rate(backend, now) * self.slow_start_rule.overload_window
 
     def _admits_cold(self, backend: Backend, share: float, cost: float, now: float) -> bool:
-        """Admit pushes to a backend in slow start by chance where this node's part is too small for one.
+        """Admit pushes to a backend in slow start at random where this node's cold rate is too low for one.
 
-        Otherwise the first pushes of hundreds of nodes would overload it. `share` is the part of all traffic
-        that would reach it.
+        Otherwise the first pushes of hundreds of nodes would overload it. `share` is the fraction of all
+        traffic that would reach it.
         """
         part, frequency = (
             self._cold_rate(backend, now),
@@ -1221,7 +1271,7 @@
         )
 
     def _arrival_rate(self, now: float) -> float:
-        """Invocations a second, corrected for a node that has only begun to count them."""
+        """Invocations a second, corrected for a node that has only just started to count them."""
         return self.admission.arrival_rate(now) / (
             1.0 - exp(min(self.started_at - now, -0.05) / AdmissionControl.MAX_SPAN_SECONDS)
         )
@@ -1242,14 +1292,14 @@
         idle = stats.outstanding_work < 0.1 * active.cost and stats.others_in_flight < 1.0
         push = Push(backend, now, active.cost, queued_work, idle)
         push.labels, push.dependency_delay = active.labels, self.health.dependency_delay(active, now)
-        active.first_push = push if deadline == inf else active.first_push
+        active.dedup_origin_push = push if deadline == inf else active.dedup_origin_push
         self.retry_budget.extra_pushes.add(1 if active.pushes else 0, now, now)
         active.pushes.append(push)
         active.in_flight += 1
         self.admission.update_mean(self.in_flight, now)
         self.in_flight += 1
         active.moving = False
-        # Twice the expected wait and a tenth of a second: most answers have come by then.
+        # Most answers arrive within twice the expected wait and a tenth of a second.
         active.next_check_at = (
             now + 2.0 * (self.health.expected_wait(backend, active.cost, now) + push.dependency_delay) + 0.1
         )
@@ -1271,7 +1321,7 @@
                 return False
             return self.may_push(active, backend, now)
 
-        # The price of crossing zones must not cause nacks or late answers beside a zone with room to spare.
+        # The price of crossing zones must not cause nacks or late answers while another zone has room.
         cross_zone = (
             0.0 if self.admission.congested(now) else self.CROSS_ZONE_SHARE * active.offering.target_time
         )
@@ -1311,7 +1361,10 @@
         self._forget_if_done(active)
 
     def _retry_after(self, offering: Offering) -> float:
-        """Seconds long enough for a queue to move on, short enough for a late answer; spread over clients."""
+        """Seconds until the client may retry, at random, so that clients do not retry in step.
+
+        Long enough for a queue to shrink, short enough for an answer that is late but still counts.
+        """
         return min(offering.target_time * (0.25 + 0.5 * self.rng.random()), self.limits.max_retry_after)
 
     def _cancel_pushes(self, active: ActiveInvocation) -> None:
@@ -1341,13 +1394,13 @@
         self.health.eject_silent([entry.backend for entry in self.rotation.entries], now)
         for active in list(self.active.values()):
             for push in active.pushes:
-                # A few backends that hold on to what they get must not use up the limit for all others.
+                # A few hung backends must not use up the concurrency limit for all others.
                 hung = (
                     self.limits.probes_per_invocation
                     and self.health.stats_of(push.backend).ejection_cause == "hung"
                 )
-                # What waits on a dependency uses no core: it is released when it would have been answered
-                # without that wait.
+                # A push that waits on a dependency uses no core: it is released when it would have been
+                # answered without that wait.
                 max_seconds = (
                     push.queued_work + push.cost if push.dependency_delay else active.offering.target_time
                 )
@@ -1371,7 +1424,7 @@
                 self.host.probe(entry.backend.id)
 
     def _probe_for_load(self, now: float) -> None:
-        """Probe the backends that are next in turn and have no fresh load report, as the price allows."""
+        """Probe the backends that are next in turn and lack a fresh load report, as far as tokens allow."""
         self.probe_tokens = min(
             self.probe_tokens + self.limits.probes_per_invocation,
             max(2.0 * self.limits.probes_per_invocation, 1.0),
@@ -1436,11 +1489,13 @@
         self.admission.resize(self._backend_share(rate, now), now)
 
     def _backend_share(self, rate: float, now: float) -> float:
-        """How many backends are this node's part: an even one, or by its traffic where reports come.
+        """Number of backends that fall to this node; 0 while it is unknown.
 
-        Returns 0 while that is unknown.
+        An even split, or in proportion to the node's traffic where load reports come.
         """
-        even, usual = len(self.registry.usable) / self.nodes, self.health.usual_in_flight.read(now)
-        if not (self.limits.probes_per_invocation and usual and now > self.started_at):
+        even, usual_in_flight = len(self.registry.usable) / self.nodes, self.health.usual_in_flight.read(now)
+        if not (self.limits.probes_per_invocation and usual_in_flight and now > self.started_at):
             return 0.0 if self.limits.probes_per_invocation else even
-        return max(self._arrival_rate(now) * self.health.response_time.read(now) / usual, 0.25 * even)
+        return max(
+            self._arrival_rate(now) * self.health.response_time.read(now) / usual_in_flight, 0.25 * even
+        )
