--- a/thornladder/node/clients/connection.py
+++ b/thornladder/node/clients/connection.py
@@ -87,12 +87,16 @@
     the backend while they arrive.
     """
 
-    LINGER_SECONDS = 0.3  # time for the client to read its last response and close
-    # Read and dropped after the last response, so that no reset overtakes it; past this nothing is read.
+    # For the client to read its last response and close; also how long after the last activity a response is
+    # taken to be still in transit.
+    LINGER_SECONDS = 0.3
+    # While `closing`, this much is read and dropped so that no TCP reset overtakes the last response; after
+    # that, reading stops.
     MAX_DISCARDED_BYTES = 256 * 1024
-    # For a request head, and for a body in addition to its minimum rate; clients may take 2 s for a head.
+    # Allowed for a request head, for which clients may take 2 s; a body gets this plus its length /
+    # MIN_BODY_BYTES_PER_SECOND.
     RECEIVE_TIMEOUT_SECONDS = 2.6
-    MIN_BODY_BYTES_PER_SECOND = 56_000.0  # clients send 64 kB/s, in pieces
+    MIN_BODY_BYTES_PER_SECOND = 56_000.0  # clients send 64 kB/s, but in pieces; hence the margin
     UPLOAD_STALL_SECONDS = 5.0  # for a backend to take one part of a body; slow ones take one a second
     DOWNLOAD_STALL_SECONDS = 10.0  # for a client to take part of a response; longer than any cut-off
 
@@ -105,41 +109,44 @@
     ) -> None:
         """Creates a connection.
 
-        `initial_data` was read when the connection was accepted; `unread_seconds` is how long it had waited
-        in the kernel.
+        `initial_data` was read when the connection was accepted; `unread_seconds` is how long that data had
+        been in the kernel's receive buffer, 0 if not measured.
         """
         self.stream, self.server_state = stream, server_state
         self.initial_data, self.unread_seconds = initial_data, unread_seconds
         self.http = h11.Connection(h11.SERVER)
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self.upload: BodyPipe | None = None  # of the current request, if it is streamed
+        # `upload` and `download` as seen from the client: the bodies of the current request and response, if
+        # they are streamed.
+        self.upload: BodyPipe | None = None
         self.discarding = False  # whether the rest of an answered request is being read and dropped
         self.pending_parts: list[bytes] = []  # body parts read but not yet passed to `upload`
         self.received_bytes = 0  # of the current request body
-        # Total time spent waiting for the current request, and start of the present wait (0: none).
+        # Total time spent waiting for data of the current request, and start of the present wait (0: none).
         self.read_wait_seconds, self.read_started_at = 0.0, 0.0
-        self.download: BodyPipe | None = None  # of the current response, if it is streamed
+        self.download: BodyPipe | None = None
         self.budgeted_upload: BodyPipe | None = None  # the upload counted against the body budget
         self.upload_lock = anyio.Lock()
         self.upload_received = False  # whether the last byte of the upload has been received
-        self.awaiting_client = True  # waits for the client, not for the next part of a streamed response
+        # Whether sending waits for the client to read, rather than for the backend's next body part.
+        self.awaiting_client = True
         self.exchange: Exchange | None = None
         self.outbox: deque[bytes] = deque()
         self.write_event = anyio.Event()
-        self.close_requested = False  # to be closed if it is still idle
-        self.closing = False  # no more requests are handled; the outbox holds the last response
+        self.close_requested = False  # to be closed by the writing task if it is still idle then
+        self.closing = False  # no more requests are handled; whatever is left to send is the last
         self.last_activity = server_state.clock()  # when bytes were last received or sent
-        # When it was accepted, or when the first byte of the current message was received.
+        # When the connection was accepted (first request) or the first byte of the current request was read.
         self.message_started_at = self.last_activity
-        self.request_seen = False  # whether a complete message has ever been received
+        self.request_seen = False  # whether a request was ever handled, shed or begun to be streamed
         self.scope = anyio.CancelScope()
 
     @property
     def idle(self) -> bool:
-        """Whether no part of an unanswered request has been read."""
-        unread = self.initial_data or self.http.trailing_data[0] or self.discarding or self.download
-        return self.request is None and self.exchange is None and not self.outbox and not unread
+        """Whether no request is being received or handled and no response is pending."""
+        busy = self.initial_data or self.http.trailing_data[0] or self.discarding or self.download
+        return self.request is None and self.exchange is None and not self.outbox and not busy
 
     @property
     def last_response_sent(self) -> bool:
@@ -172,7 +179,7 @@
     def close_if_idle(self) -> None:
         """Requests the end of the connection if it is idle.
 
-        A client whose request crosses the close sends it again on another connection.
+        A client whose request is in transit when the connection closes retries it on another connection.
         """
         if self.idle and not has_unread_data(self.stream):
             self.close_requested = True
@@ -181,16 +188,15 @@
     def _close_if_still_idle(self) -> None:
         """Closes the connection if it is still idle.
 
-        Runs after the reading task has had its turn, so that no request is lost between the kernel and it.
+        Runs after the reading task has had a turn, so that a request just read, or still in the kernel's
+        receive buffer, is noticed.
         """
         self.close_requested = False
         if not self.idle or self.closing or has_unread_data(self.stream):
             return
         self.closing = True
-        if not (
-            self.request_seen and self.server_state.clock() - self.last_activity < self.LINGER_SECONDS
-        ):
-            self.scope.cancel()  # no response is in transit that a reset could overtake
+        if not (self.request_seen and self.server_state.clock() - self.last_activity < self.LINGER_SECONDS):
+            self.scope.cancel()  # safe: no recent response that a reset could overtake
 
     def enforce_timeouts(self, now: float, idle_timeout: float) -> None:
         """Ends requests and responses that take too long, and connections idle for over `idle_timeout` s."""
@@ -200,7 +206,7 @@
                 if self.exchange is None:
                     self.scope.cancel()
                 else:
-                    self._abort_upload(408, "it did not come whole")
+                    self._abort_request(408, "it did not come whole")
             return
         if self.exchange is not None:
             return
@@ -216,7 +222,7 @@
             now - self.message_started_at
             > self.RECEIVE_TIMEOUT_SECONDS + len(self.body) / self.MIN_BODY_BYTES_PER_SECOND
         ):
-            # Ends slow-loris requests: the time counts from the first byte.
+            # Ends slow-loris requests: the time counts from `message_started_at`.
             self._reject(408, "it did not come whole")
 
     def _upload_too_slow(self, now: float) -> bool:
@@ -236,25 +242,26 @@
                     self.read_wait_seconds + self.server_state.clock() - self.read_started_at,
                     0.0,
                 )
-            # The shed policy was asked about the initial data when the connection was accepted.
-            checked, self.initial_data = bool(self.initial_data), b""
-            if not checked and self.server_state.is_lagging():
+            # Early shedding of the initial data was decided when the connection was accepted.
+            shed_check_done, self.initial_data = bool(self.initial_data), b""
+            if not shed_check_done and self.server_state.is_lagging():
                 self.unread_seconds = streams.seconds_since_last_data(streams.raw_socket(self.stream))
             if self.closing:
                 discarded += len(data)
                 if discarded > self.MAX_DISCARDED_BYTES:
-                    await anyio.sleep_forever()  # the writing task cancels this
+                    await anyio.sleep_forever()  # the writing task ends the connection after LINGER_SECONDS
                 continue
             self.last_activity = self.server_state.clock()
             if self.request_seen and self.idle:
                 self.message_started_at, self.read_wait_seconds = self.last_activity, 0.0
             if self.exchange is not None and self.upload is None:
-                # Clients do not pipeline: bytes past the declared length make the framing suspect.
+                # Clients do not pipeline: bytes past the declared length mean that the framing cannot be
+                # trusted.
                 exchange, self.exchange = self.exchange, None
                 self.server_state.handler.client_disconnected(exchange)
                 self._reject(400, "more came than one invocation")
                 continue
-            if self.unread_seconds and not checked and self.idle:
+            if self.unread_seconds and not shed_check_done and self.idle:
                 nack = self.server_state.early_shedder.nack(
                     data, self.unread_seconds, self.server_state.closes_connections
                 )
@@ -268,12 +275,15 @@
                     continue
             self.http.receive_data(data)
             if self.download is not None and len(self.http.trailing_data[0]) > MAX_BUFFERED_BYTES:
-                return  # the client keeps sending while it hardly reads its response
+                return  # the client has sent too much while its response is still being streamed
             self._process_events()
             await self._forward_upload()
 
     async def _forward_upload(self) -> None:
-        """Passes received parts of a streamed body to its pipe; waits, so that no more is read meanwhile."""
+        """Passes received parts of a streamed body to its pipe.
+
+        Blocks the reading task while the pipe is full (backpressure).
+        """
         async with self.upload_lock:
             if self.upload is not None and self.budgeted_upload is None:
                 pipe = self.upload
@@ -307,8 +317,11 @@
             self.server_state.body_budget.release(BODY_PIPE_BYTES, self.budgeted_upload)
             self.budgeted_upload = None
 
-    def _abort_upload(self, status: int, message: str) -> None:
-        """Ends an invocation whose request is not received completely; it cannot have run."""
+    def _abort_request(self, status: int, message: str) -> None:
+        """Drops an incomplete or malformed request and rejects it.
+
+        An invocation that it has started is abandoned; it cannot have run.
+        """
         exchange, self.exchange = self.exchange, None
         self._finish_upload(False)
         if exchange is not None:
@@ -333,7 +346,8 @@
                 if self.exchange is None:
                     self._process_events()
                     await self._forward_upload()
-            # Closes after the client does, or after a delay: a reset could overtake the response.
+            # Half-closes, then waits for the client to close, or for LINGER_SECONDS: otherwise a reset could
+            # overtake the response.
             await self.stream.send_eof()
             await anyio.sleep(self.LINGER_SECONDS)
         except STREAM_CLOSED_ERRORS:
@@ -372,7 +386,7 @@
                     self.closing, self.discarding = True, False
                     self.write_event.set()
                 else:
-                    self._abort_upload(error.error_status_hint, "malformed")
+                    self._abort_request(error.error_status_hint, "malformed")
                 return
             if event is h11.NEED_DATA:
                 if self.http.they_are_waiting_for_100_continue:
@@ -409,7 +423,7 @@
             self.closing, self.discarding = True, False  # it has been answered
             self.write_event.set()
         elif self.received_bytes > MAX_BODY_BYTES:
-            self._abort_upload(413, "the body is too long")
+            self._abort_request(413, "the body is too long")
         elif self.upload is not None:
             self.pending_parts.append(bytes(data))
         elif not self.discarding:
@@ -433,7 +447,7 @@
         self.unread_seconds = 0.0
         if not self.server_state.handler.start_invocation(self.exchange):
             self.exchange = None
-            self._abort_upload(400, "this X-Call-Id is in hand")
+            self._abort_request(400, "this X-Call-Id is in hand")
 
     def _handle_message(self) -> None:
         """Handles a complete request: a health check or an invocation."""
@@ -441,16 +455,18 @@
         assert request is not None
         self.request_seen = True
         if self.http.trailing_data[0]:
-            # The declared length was too short: the rest would be taken for the next request.
+            # The declared length was too short: otherwise the surplus would be parsed as the next request.
             self._reject(400, "more came than one invocation")
             return
         path = request.target.partition(b"?")[0]
         if path in (messages.READY_PATH, messages.LIVE_PATH):
-            unready = not self.server_state.ready and path == messages.READY_PATH
-            readiness = "ready" if not unready else "leaving" if self.server_state.draining else "standby"
+            readiness_failed = not self.server_state.ready and path == messages.READY_PATH
+            body_text = (
+                "ready" if not readiness_failed else "leaving" if self.server_state.draining else "standby"
+            )
             self._respond(
                 *messages.encode_text_response(
-                    503 if unready else 200, readiness, self.server_state.closes_connections
+                    503 if readiness_failed else 200, body_text, self.server_state.closes_connections
                 )
             )
             return
@@ -504,7 +520,8 @@
         self.request = None
         self.body.clear()
         if self.upload is not None:
-            # The rest of the request is read: closing while the client sends could overtake the response.
+            # Unless the connection is closing, the rest of the request is read and dropped: closing while the
+            # client sends causes a reset that can overtake the response.
             self.upload.abort()
             client_sends_body = not self.http.they_are_waiting_for_100_continue
             self.discarding = not self.upload_received and not self.closing and client_sends_body
