--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -336,8 +336,8 @@
         self.cold_pushes: deque[tuple[float, float]] = deque()  # during slow start: time and expected cost
         # Other nodes' pushes in flight there by the last load report, and when that was received.
         self.others_in_flight, self.reported_at = 0.0, -inf
-        # The ejection cause that the last report shows; when the probe in flight was sent (None: there is none,
-        # or it is a trial of an ejected backend).
+        # The ejection cause that the last report shows; when the probe in flight was sent (None: there is
+        # none, or it is a trial of an ejected backend).
         self.reported_failure, self.probe_sent_at = "", None
 
     def add_push(self, active: ActiveInvocation, push: Push) -> None:
@@ -835,8 +835,8 @@
         active.labels = active.offering.name, "" if rate is None else active.invocation.tenant
         if rate is None or active.invocation.is_retry:
             return
-        # A bucket of one second's allowance may hold less than a token: all of a light tenant's traffic would be
-        # over share.
+        # A bucket of one second's allowance may hold less than a token, so that a light tenant's traffic
+        # would all be over share.
         burst = max(rate, self.MIN_BURST)
         tokens, counted_at = self.tenant_tokens.get(active.invocation.tenant, (burst, now))
         tokens = min(tokens + rate * (now - counted_at), burst)
