--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -4,13 +4,16 @@
 others in shuffled order. A ping that is not acknowledged in time is repeated over three paths at once: a
 ping without piggybacked items, a connection, and pings relayed by other members (SWIM's indirect probes).
 The member reports the target as REFUSED when its kernel refuses the connection, and as SILENT when all paths
-fail. A change of state needs the reports of two witnesses: ENDED follows at once from two refusals, LOST from
-silence that outlasts the suspicion timeout. The subject of a report refutes it by raising its round (SWIM's
-incarnation number); a member that still hears the subject vouches for it.
+fail. A member concludes ENDED or LOST only from reports of two witnesses: ENDED at once from two refusals,
+LOST from silence that outlasts the suspicion timeout. The subject of a report refutes it by raising its
+round; a member that still hears the subject vouches for it.
 
-All times inside the core are on an adjusted clock that stands still while this process was paused or starved
-of CPU, so that no timeout of another member expires meanwhile. docs/membership.md compares the approach with
-its sources: SWIM, Lifeguard, Rapid.
+Three numbers order what is known of a member: `start` counts the processes that have run under its name,
+`birth` is a random number of the process, and `round` is the process's incarnation number (SWIM).
+
+All times inside the core are on an adjusted clock that does not advance while this process is paused or
+starved of CPU, so that this member's timeouts on others do not expire during that time. docs/membership.md
+compares the approach with its sources: SWIM, Lifeguard, Rapid.
 """
 
 from __future__ import annotations
@@ -41,22 +44,22 @@
 
     probe_interval: float = 0.25  # between pings; every second one goes to the ring successor
     ack_timeout: float = 0.2  # until the other paths are tried; some hundred round trips within a building
-    probe_timeout: float = 1.0  # for all paths together, until the target is reported
+    probe_timeout: float = 1.0  # for all paths together; then the target is reported
     suspicion_timeout: float = 6.0  # from the first report of silence to LOST, with three witnesses
     two_witness_delay: float = 1.0  # added to the suspicion timeout with only two witnesses
     pause_threshold: float = 0.15  # a wake-up later than this means this process was paused or starved of CPU
     max_catch_up: float = 1.0  # longest time after a pause during which nobody is reported as silent
-    isolation_timeout: float = 2.0  # without any reply, after which this member takes itself to be cut off
+    isolation_timeout: float = 2.0  # after so long without any reply, this member takes itself to be cut off
     rejoin_interval: float = 1.0  # between attempts to reach a LOST member or a seed outside the view
     sync_interval: float = 1.0  # between exchanges of whole views
     retention: float = 600.0  # an ENDED or LEFT process is kept, so that late messages do not bring it back
 
 
-GOSSIP_FANOUT = 3  # members that receive new items at once
+GOSSIP_FANOUT = 3  # number of random members to which new items are sent immediately
 LARGE_FLEET_MEMBERS = 32  # from this size on the fan-out is 2; piggybacking on pings does the rest
 INDIRECT_PROBES = 3  # members asked to relay a ping (SWIM's k)
 MIN_WITNESSES = 2
-MAX_PIGGYBACK_ITEMS = 24  # per message; about 20 fit into a datagram
+MAX_PIGGYBACK_ITEMS = 24  # per message; the datagram size usually limits it to about 20
 MAX_GOSSIP_ITEMS = 12  # per message of new items
 HEADER_RESERVE_BYTES = 200  # of a datagram, for the fields of the message beside its items
 MAX_SILENCE_REPORTS = 3  # kept per member; more do not shorten the suspicion timeout
@@ -65,7 +68,9 @@
 RELAY_TIMEOUT_SECONDS = 2.0  # after which the ack of a relayed ping is not passed on
 EPSILON_SECONDS = 1e-6
 HEARD_RECENTLY_SECONDS = 10.0  # a member heard within this time is still shown as reachable one way
-MAX_VERIFYING_PROBES = 16  # in flight for suspicions; half of a large fleet may be suspected at once
+# While this many probes of any kind are in flight, `_expire_suspicions` starts no more: half of a large fleet
+# may be suspected at once.
+MAX_VERIFYING_PROBES = 16
 MAX_HEALTH_SCORE = 4  # of Lifeguard's local health; timeouts grow to three times their length
 MAX_PEERS = 20_000  # bounds the memory that a misconfigured fleet can take
 
@@ -139,7 +144,8 @@
     last_vouched_at: float = NEVER
     last_notified_at: float = NEVER  # last time it was sent the reports about itself
     probe_failed_at: float = NEVER  # last probe that failed on all paths
-    lost_reported_by: str = ""  # witnesses by which others hold it LOST, until this member has checked
+    # Comma-separated witnesses of a LOST state received from others; empty once this member has decided.
+    lost_reported_by: str = ""
 
     @property
     def alive(self) -> bool:
@@ -157,7 +163,8 @@
     started_at: float
     deadline: float
     fallback_at: float  # when the other paths are tried; inf once they are
-    # Set once another path reached the target: seconds since it heard this member, negative for never.
+    # None until another path has reached the target; then seconds since the target last heard this member
+    # (0 via a connection, negative if never).
     target_heard_us_ago: float | None = None
 
 
@@ -174,7 +181,7 @@
 class Counters:
     """Totals since the start of the process."""
 
-    dropped: int = 0  # messages of another fleet, or beyond MAX_PEERS
+    dropped: int = 0  # messages of another fleet, and all messages once MAX_PEERS is reached
     reports_made: int = 0  # by this member about others
     refutations: int = 0
     pauses: int = 0  # of this process, including starvation of CPU
@@ -202,8 +209,7 @@
 class Core(Outbox):
     """The protocol state of one member.
 
-    A member's process is identified by `start`, which counts the processes of a name, and by `birth`, a
-    random number. `round` is its incarnation number in SWIM's sense.
+    `start`, `birth` and `round` are this process's own, see the head of this module.
     """
 
     def __init__(
@@ -254,7 +260,7 @@
     def wake(self, now: float) -> None:
         """Handles expired timeouts and starts the next probe. Due at `next_wake_at`."""
         self._advance_clock(now)
-        # The adjusted clock is a rounded sum: without this a due timer could stay just short of due for ever.
+        # Rounding in the clock offset could otherwise leave `self.now` just below a due timer for ever.
         self.now += EPSILON_SECONDS
         for number, probe in list(self.probes.items()):
             if self.now >= probe.deadline:
@@ -265,11 +271,11 @@
                 self._probe_by_other_paths(number, probe)
         if self.now >= self.next_probe_at:
             self.next_probe_at = self.now + self.timing.probe_interval * (0.9 + 0.2 * self.rng.random())
-            self._run_probe_round()
+            self._on_probe_interval()
         self._flush_gossip()
 
     def on_message(self, now: float, source: str, message: Message, by_connection: bool = False) -> None:
-        """Takes a received message. `source`: the host:port that it came from and that replies go to."""
+        """Handles a received message. `source`: the host:port that it came from and that replies go to."""
         self._advance_clock(now)
         if message.fleet != self.fleet or len(self.peers) >= MAX_PEERS:
             self.counters.dropped += 1
@@ -292,7 +298,7 @@
         self._flush_gossip()
 
     def on_connection_outcome(self, now: float, number: int, outcome: ConnectionOutcome) -> None:
-        """Takes the result of a `ConnectionProbe` that got no reply."""
+        """Handles the result of a `ConnectionProbe` that got no reply."""
         self._advance_clock(now)
         probe = self.probes.get(number)
         if probe is not None and outcome is ConnectionOutcome.REFUSED:
@@ -301,7 +307,7 @@
         self._flush_gossip()
 
     def reply_to(self, message: Message) -> Message:
-        """The reply to a message received over a connection: a whole view to a whole view, else an ack."""
+        """Reply to a message received over a connection: the whole view if it was a VIEW, else an ack."""
         if message.kind == Kind.VIEW:
             return self.view_message()
         return self._message(Kind.ACK, number=message.number, target=message.name)
@@ -375,7 +381,7 @@
             self.health_score = min(self.health_score + 1, MAX_HEALTH_SCORE)
         self.now = max(self.now, now - self.clock_offset)
 
-    def _run_probe_round(self) -> None:
+    def _on_probe_interval(self) -> None:
         target = self._next_target()
         if target is not None:
             self._start_probe(target)
@@ -387,9 +393,9 @@
             number for number, relayed in self.relayed_pings.items() if self.now > relayed.expires_at
         ]:
             del self.relayed_pings[number]
-        cutoff = self.now - self.timing.retention
+        expired_before = self.now - self.timing.retention
         for name in [
-            name for name, peer in self.peers.items() if peer.state_since < cutoff and not peer.alive
+            name for name, peer in self.peers.items() if peer.state_since < expired_before and not peer.alive
         ]:
             if self.peers[name].item.state != State.LOST:
                 del self.peers[name]
@@ -447,11 +453,11 @@
             return
         if probe.target_heard_us_ago is not None:
             return  # reached indirectly or by connection
-        hears_target = peer.last_heard_at >= probe.started_at or (
+        we_hear_target = peer.last_heard_at >= probe.started_at or (
             peer.reachability is Reachability.INBOUND_ONLY
             and self.now - peer.last_heard_at < HEARD_RECENTLY_SECONDS
         )
-        peer.reachability = Reachability.INBOUND_ONLY if hears_target else Reachability.UNREACHABLE
+        peer.reachability = Reachability.INBOUND_ONLY if we_hear_target else Reachability.UNREACHABLE
         if peer.last_evidence_at < probe.started_at:
             # A probe that began while this member was cut off says nothing about the target.
             conclusive = self._can_judge_others() and probe.started_at >= self.connected_since
@@ -471,7 +477,10 @@
         return self.now >= self.no_reports_until and not self.isolated
 
     def _report(self, probe: Probe, state: State) -> None:
-        """Reports the target of a failed probe as SILENT or REFUSED, unless this member cannot judge."""
+        """Reports the target of a failed probe as SILENT or REFUSED.
+
+        SILENT only while this member can judge others and more reports still matter.
+        """
         peer = self.peers.get(probe.name)
         if peer is None or peer.item.process != probe.process or not peer.alive:
             return
@@ -510,14 +519,14 @@
             if self.name not in peer.reports:
                 wait += 2.0 * self.timing.probe_timeout  # the witnesses themselves may have failed
             expires_at = max(peer.first_report_at, peer.last_evidence_at) + wait
-            verified = (
+            failure_confirmed = (
                 peer.probe_failed_at
                 >= max(expires_at, self.now - self.timing.probe_timeout) - self.timing.probe_timeout
             )
-            if verified and self.now >= expires_at:
+            if failure_confirmed and self.now >= expires_at:
                 self._set_state(peer, State.LOST)
             needs_probe = peer.lost_reported_by or self.now >= expires_at - self.timing.probe_timeout
-            if needs_probe and not verified and len(self.probes) < MAX_VERIFYING_PROBES:
+            if needs_probe and not failure_confirmed and len(self.probes) < MAX_VERIFYING_PROBES:
                 self._verify(name)
 
     def _set_state(self, peer: Peer, state: State, witnesses: str = "") -> None:
@@ -528,7 +537,11 @@
         )
 
     def _try_rejoin(self) -> None:
-        """Pings a LOST member or a seed outside the view, so that a partition heals without an operator."""
+        """Pings a random LOST member, and half of the time a random seed outside the view.
+
+        Pings all seeds while this member has not joined or knows no live member. Thus a partition heals
+        without an operator.
+        """
         lost = [peer for peer in self.peers.values() if peer.item.state == State.LOST]
         known = {peer.item.address for peer in self.peers.values() if peer.alive}
         seeds = [seed for seed in self.seeds if seed not in known]
@@ -544,7 +557,7 @@
     # Messages of other members.
 
     def _on_sender(self, message: Message, source: str, by_connection: bool) -> None:
-        """Takes what any message says about its sender: that it is alive, its process, its view's digest."""
+        """Handles what any message tells of its sender: that it is alive, its process, its view's digest."""
         peer = self.peers.get(message.name)
         process = (message.start, message.birth)
         if peer is None or process > peer.item.process:
@@ -568,6 +581,7 @@
             peer.reports = {}  # refuted by the higher round
         if message.digest != self.digest and message.kind != Kind.VIEW:
             settled = self.now - self.view_changed_at > self.timing.sync_interval
+            # After 10 s, or longer in large fleets, to limit exchanges of whole views.
             overdue = self.now - self.last_sync_at > 10.0 * max(1.0, len(self.peers) / 100.0)
             if settled or overdue:
                 # A joining member asks one of the few members it knows, to spare the seed that replied first.
@@ -578,7 +592,7 @@
                 self._request_sync(partner.item.address)
 
     def _note_alive(self, peer: Peer) -> None:
-        """Takes evidence that a member is alive, which withdraws this member's own report."""
+        """Records evidence that a member is alive, which withdraws this member's own report."""
         peer.last_evidence_at = self.now
         peer.lost_reported_by = ""
         if peer.reports:
@@ -590,15 +604,16 @@
             self.last_sync_at = self.now
             self.actions.append(Sync(address))
 
-    def _notify_subject(self, peer: Peer, address: str, state: Item | None = None) -> None:
-        """Sends a process the reports about itself, to be refuted, or the newer process that replaced it.
+    def _notify_subject(self, peer: Peer, address: str, item_override: Item | None = None) -> None:
+        """Sends a process the reports about itself, so that it can refute them.
 
-        `state`: sent in place of the state that this member holds.
+        The item that this member holds, which may be of a newer process that replaced it, comes with them;
+        `item_override` is sent in its place.
         """
         if self.now - peer.last_notified_at > NOTIFY_INTERVAL_SECONDS:
             peer.last_notified_at = self.now
             reports = [self._report_item(peer, by, state) for by, state in peer.reports.items()]
-            self._send(address, Kind.GOSSIP, items=[state or peer.item, *reports[:3]])
+            self._send(address, Kind.GOSSIP, items=[item_override or peer.item, *reports[:3]])
 
     def _vouch_for(self, peer: Peer) -> None:
         if self.now - peer.last_vouched_at > VOUCH_INTERVAL_SECONDS and State.SILENT in peer.reports.values():
@@ -610,11 +625,14 @@
         if message.target and message.target != self.name:
             self._send(source, Kind.ACK, number=message.number, target=message.name)
             return
+        # Of a relayed ping, `behalf` names the requester. `about` in the ack is the seconds since this member
+        # last heard the requester, -1 if never.
         requester = self.peers.get(message.behalf) if message.behalf else None
         if requester is not None:
             requester_heard_ago = (
                 -1.0 if requester.last_heard_at == NEVER else self.now - requester.last_heard_at
             )
+            # A direct datagram: only its arrival matters, which sets `last_heard_at` at the requester.
             self._send(requester.item.address, Kind.ECHO, target=requester.item.name)
         peer = self.peers.get(message.name)
         items = self._piggyback_items() if message.items else []
@@ -673,6 +691,7 @@
         self._note_alive(peer)
         self._note_reply()
         probe.target_heard_us_ago = message.about
+        # Since the probe began, with a margin of 0.5 s.
         target_hears_us = 0.0 <= message.about <= self.now - probe.started_at + 0.5
         we_hear_target = peer.last_heard_at >= probe.started_at
         if we_hear_target and not target_hears_us:
@@ -696,12 +715,14 @@
         if self.left:
             return
         if unconfirmed and item.process == own_process and item.by in self.peers:
-            # Only the witness holds the report: a message to it is enough, the fleet need not be told.
+            # An unconfirmed report is known only to the witness and the few members it asked; answering the
+            # witness is enough.
             self.counters.refutations += 1
             self._send(self.peers[item.by].item.address, Kind.GOSSIP, items=[self.own_item])
             return
         if item.process > own_process and item.state not in REPORT_STATES:
-            # An earlier process of this name, or another that uses it: this one takes a higher start number.
+            # Another process of this name has a higher identity: an earlier run whose number was not known
+            # here, or a duplicate name. This one takes a higher start number.
             start, new_round = item.start + 1, 0
         elif item.process == own_process and item.round >= self.round and item.state not in (
             State.ALIVE, State.VOUCHED
@@ -716,7 +737,7 @@
         self._enqueue_gossip(self.own_item)
 
     def _merge_item(self, item: Item) -> None:
-        """Takes over a member's state if it is newer than the one held, and gossips it."""
+        """Adopts a member's state if it is newer than the one held, and gossips it."""
         peer = self.peers.get(item.name)
         if peer is None:
             self.peers[item.name] = peer = Peer(item, self.now)
@@ -727,8 +748,9 @@
         if item.order <= peer.item.order:
             return
         if item.state == State.LOST and peer.alive and item.process == peer.item.process:
-            # LOST as seen by others counts as a report of their witnesses until it has lasted or this
-            # member's own probe has failed. Otherwise views would flap when a partition heals.
+            # A LOST received from others only adds reports by their witnesses until this member's own probe
+            # fails (see `lost_reported_by`), unless there are already reports of two witnesses and the first is
+            # half the suspicion timeout old. Otherwise views would flap when a partition heals.
             has_lasted = self.now - peer.first_report_at >= 0.5 * self.timing.suspicion_timeout
             if not (len(peer.reports) >= MIN_WITNESSES and has_lasted):
                 for by in item.by.split(","):
@@ -752,7 +774,7 @@
         self._enqueue_gossip(item)
 
     def _on_report(self, item: Item, unconfirmed: bool = False) -> None:
-        """Takes the report of one witness.
+        """Handles the report of one witness.
 
         An unconfirmed report goes only to its subject and to a few members that verify it, so that reports do
         not crowd out all other gossip where a third of the messages is lost.
@@ -796,8 +818,8 @@
     def _request_confirmation(self, peer: Peer, item: Item) -> None:
         """Asks a few members to verify a report.
 
-        One of them is the member heard last, since a partition may hide most of the others. The subject
-        gets the report too.
+        One of them is the most recently heard member, since a partition may hide most of the others. The
+        subject gets the report too.
         """
         candidates = [other for other in self.peers.values() if other.alive and not other.reports]
         recipients = self.rng.sample(candidates, min(len(candidates), GOSSIP_FANOUT - 1)) + [peer]
