--- a/thornladder/rig/__init__.py
+++ b/thornladder/rig/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet on one machine: nodes as processes or in virtual time, what they need round them, and faults."""
+"""Test rig: a fleet on one machine, as processes or in virtual time, with stand-ins, load and faults."""
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -1,7 +1,15 @@
-"""The program with a planted fault: what a bad release may be, for plays of a rolling change.
-
-`python -m thornladder.rig.flawed FLAW`, else as `thornladder node --counters`. FLAW is one of: none, start,
-tenth, after:SECONDS, unready, leak:BYTES_A_SECOND, slow:OFFERING:SECONDS, nack:SHARE.
+"""The node program with a planted fault, for scenarios that roll out a bad release.
+
+`python -m thornladder.rig.flawed FLAW` runs a node as `thornladder node --counters` does. FLAW is one of:
+
+    none                   no fault
+    start                  exits at its start with code 3
+    tenth                  exits with code 3 at its tenth invocation
+    after:SECONDS          exits with code 3 after so many seconds
+    unready                never becomes ready: sleeps for an hour before it starts
+    leak:BYTES_A_SECOND    leaks memory at this rate
+    slow:OFFERING:SECONDS  blocks for so many seconds at each invocation of the offering
+    nack:SHARE             nacks this share of the invocations
 """
 
 from __future__ import annotations
@@ -20,16 +28,16 @@
 from thornladder.node.messages import ClientResponse, FinalOutcome
 
 
-class Flaw:
-    """A companion that does harm."""
+class PlantedFault:
+    """A node extension that misbehaves as FLAW says."""
 
     descriptors = 0
 
-    def __init__(self, words: str) -> None:
-        self.kind, _, rest = words.partition(":")
-        self.rest = rest.split(":")
-        self.count = 0
-        self.held: list[bytearray] = []
+    def __init__(self, flaw: str) -> None:
+        self.kind, _, arguments = flaw.partition(":")
+        self.arguments = arguments.split(":")
+        self.invocation_count = 0
+        self.leaked_blocks: list[bytearray] = []
 
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
         return {}
@@ -37,6 +45,7 @@
     def wrap(
         self, handler: InvocationHandler, shed_policy: ShedPolicy
     ) -> tuple[InvocationHandler, ShedPolicy]:
+        """Puts this extension before the handler; all calls but `start_invocation` go straight to it."""
         self.handler = handler
         self.body_received, self.body_stalled, self.client_disconnected = (
             handler.body_received,
@@ -49,39 +58,41 @@
         context.tasks.start("a planted fault", self._run)
 
     async def stop(self, has_successor: bool) -> None:
-        """Nothing."""
+        """Does nothing."""
 
     async def _run(self) -> None:
         if self.kind == "after":
-            await anyio.sleep(float(self.rest[0]))
+            await anyio.sleep(float(self.arguments[0]))
             os._exit(3)
         while self.kind == "leak":
-            self.held.append(bytearray(os.urandom(int(float(self.rest[0]) / 10))))
+            self.leaked_blocks.append(bytearray(os.urandom(int(float(self.arguments[0]) / 10))))
             await anyio.sleep(0.1)
 
     def start_invocation(self, exchange: Exchange) -> bool:
-        self.count += 1
-        if self.kind == "tenth" and self.count >= 10:
+        """Handles an invocation, with the faults `tenth`, `slow` and `nack`."""
+        self.invocation_count += 1
+        if self.kind == "tenth" and self.invocation_count >= 10:
             os._exit(3)
-        if self.kind == "slow" and exchange.invocation.offering == self.rest[0]:
-            time.sleep(float(self.rest[1]))
-        if self.kind == "nack" and self.count % round(1.0 / float(self.rest[0])) == 0:
+        if self.kind == "slow" and exchange.invocation.offering == self.arguments[0]:
+            time.sleep(float(self.arguments[1]))
+        if self.kind == "nack" and self.invocation_count % round(1.0 / float(self.arguments[0])) == 0:
             exchange.finish(ClientResponse(FinalOutcome.NACKED))
             return True
         return self.handler.start_invocation(exchange)
 
 
 def main() -> int:
+    """Runs the node until it ends; returns the exit code."""
     from thornladder.__main__ import main
     from thornladder.rollout.counters import Counters
 
-    words = sys.argv[1]
-    if words == "start":
+    flaw = sys.argv[1]
+    if flaw == "start":
         return 3
-    if words == "unready":
+    if flaw == "unready":
         time.sleep(3600.0)
-    # The counters last: they see the invocation first, and what the flaw does to it.
-    return main([Flaw(words), Counters()])
+    # The counters come last and so wrap the planted fault: they also count what it does to an invocation.
+    return main([PlantedFault(flaw), Counters()])
 
 
 if __name__ == "__main__":
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -1,4 +1,4 @@
-"""Plays a file: a fleet under load and faults, and what happened held against what must hold."""
+"""Runs a scenario: a fleet of node processes under load and faults, whose results are checked at the end."""
 
 from __future__ import annotations
 
@@ -26,36 +26,40 @@
 from thornladder.asking import fetch
 from thornladder.children import ended_with_us
 from thornladder.fields import MalformedError
-from thornladder.rig.clients import Clients
+from thornladder.rig.clients import LoadGenerator
 from thornladder.rig.faults import Fault, LinkConditions, node_actions, validate_faults
 from thornladder.rig.processes import NodeProcess
-from thornladder.rig.relay import PORT, Ends, Relay
-from thornladder.rig.standins import Backend, Cold, Ledger, Listing
+from thornladder.rig.relay import MEMBERSHIP_PORT, NodeAddresses, Relay
+from thornladder.rig.standins import Backend, DiscoveryServer, EffectLog, SlowStartModel
 from thornladder.rollout.driver import log_path
-from thornladder.rollout.orders import FORMAT_VERSION as FORM_OF_ORDERS
+from thornladder.rollout.orders import FORMAT_VERSION as ORDERS_FORMAT_VERSION
 from thornladder.rollout.store import Store
 
-FORM = 1  # of the result file
-READY = 150.0  # seconds for all nodes to be ready: a hundred times what an idle machine needs
-LOOK = 0.5  # seconds between questions to each node who is there
-KEEPER = 7900  # port of keepers, at a node's own address and at its relay's
-DRIVER = "driver"  # of a change, among the ends of links
-SETTLED = 10.0  # seconds after its start from which on a node must be counted by all others
+RESULT_FORMAT_VERSION = 1
+READY_TIMEOUT_SECONDS = 150.0  # for all nodes together; about 100 times what an idle machine needs
+MEMBERS_POLL_SECONDS = 0.5  # between requests to each node for its view of the fleet
+KEEPER_PORT = 7900  # of keepers, at a node's own address and at its relay address
+DRIVER = "driver"  # name of the rollout driver as an end of links in faults
+SETTLE_SECONDS = 10.0  # after its start a process must be counted by all others
 
 
 class Backends(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The backends of a scenario, all alike."""
+
     count: int = 4
     cores: int = 2
-    warm_up: float = 20.0
+    warm_up: float = 20.0  # seconds
 
 
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    rate: float = 60.0  # invocations a second, all clients together
+    """The load that clients offer."""
+
+    rate: float = 60.0  # invocations per second, all clients together
     cost: float = 0.004  # seconds of a backend's core, at its full speed
 
 
 class BackendReplacement(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A backend ends and is back cold after `down` seconds."""
+    """A backend terminates and starts again `down` seconds later, in slow start."""
 
     backend: int
     at: float
@@ -63,42 +67,44 @@
 
 
 class Expectations(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What must hold. Left out: not asked."""
+    """Limits that the result must keep. A field that is left out is not checked."""
 
     utility: float | None = None  # at least
-    one_view_after: float | None = None  # seconds from the last fault until all hold one view, at most
-    removed: list[str] | None = None  # members that may be taken out of a view by others; all others not
-    known_after: float | None = None  # seconds from a kill until all others know, at most
-    accused_by: list[str] | None = None  # members that may have said a word against another
+    one_view_after: float | None = None  # max seconds from the last fault until all views agree
+    removed: list[str] | None = None  # the only members that others may remove from a view
+    known_after: float | None = None  # max seconds from a kill until all other members know of it
+    accused_by: list[str] | None = None  # the only members that may have reported another as silent
 
 
 class RolloutSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A change that is driven while the play goes on; its nodes have keepers."""
+    """A rollout that is driven during the scenario. All nodes have keepers then."""
 
     at: float
     settings: dict[str, Any] = {}
-    flaw: str = ""  # a new program: this one with a planted fault (`rig.flawed`); "none" for a sound one
-    more: dict[str, Any] = {}  # of the change's own file: stages, watch and so on
-    killed: list[float] = []  # seconds of the play at which the driver is killed; it is started again
-    again: float = 2.0  # seconds later
-    rivals: int = 0  # further drivers, each with a change of its own, that begin at the same moment
-    keepers_paused: list[tuple[str, float, float]] = []  # node, when, for how many seconds
+    flaw: str = ""  # roll out a program with this planted fault (see `rig.flawed`); "none" for a sound one
+    more: dict[str, Any] = {}  # further fields of the rollout's file: stages, watch and so on
+    killed: list[float] = []  # when the driver is killed, seconds of the scenario; it is started again
+    again: float = 2.0  # seconds from a kill of the driver to its next start
+    rivals: int = 0  # further drivers, each with a rollout of its own, that start at the same time
+    keepers_paused: list[tuple[str, float, float]] = []  # node, start of the pause, seconds that it lasts
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """The scenario file. Times are in seconds of the scenario, which starts when all nodes are ready."""
+
     seconds: float
     nodes: int = 4
     zones: int = 1
-    seeds: int = 2  # of the nodes, by which all join
+    seeds: int = 2  # number of nodes that the others join through
     membership: bool = True
-    hold: float = 300.0  # of the fleet's file
-    lower_after: float = 5.0
+    hold: float = 300.0  # as in the fleet file
+    lower_after: float = 5.0  # as in the fleet file
     backends: Backends = Backends()
     load: Load = Load()
     replace: list[BackendReplacement] = []
     faults: list[Fault] = []
     change: RolloutSpec | None = None
-    until_changed: bool = False  # the play ends with the change, where that is sooner
+    until_changed: bool = False  # end with the rollout if that is sooner
     holds: Expectations = Expectations()
 
     @property
@@ -112,26 +118,29 @@
 
 
 def load_scenario(path: Path) -> Scenario:
-    """Raises MalformedError with one line that names the field."""
-    plan = toml.read(path, Scenario)
-    if wrong := sound(plan):
-        raise MalformedError(wrong)
-    return plan
+    """Reads and checks a scenario file. Raises MalformedError with one line that names the field."""
+    scenario = toml.read(path, Scenario)
+    if error := validation_error(scenario):
+        raise MalformedError(error)
+    return scenario
 
 
-def sound(plan: Scenario) -> str | None:
-    if not 1 <= plan.nodes <= 100:
+def validation_error(scenario: Scenario) -> str | None:
+    """The first error in a scenario, with the field's name; None if it is valid."""
+    if not 1 <= scenario.nodes <= 100:
         return "nodes must be from 1 to 100"
-    if not 0 <= plan.seeds <= plan.nodes:
+    if not 0 <= scenario.seeds <= scenario.nodes:
         return "seeds must be from 0 to nodes"
-    if not 0.0 < plan.seconds <= 3600.0 or not 0.0 <= plan.load.rate <= 2000.0:
+    if not 0.0 < scenario.seconds <= 3600.0 or not 0.0 <= scenario.load.rate <= 2000.0:
         return "seconds must be above 0 and at most 3600, load.rate from 0 to 2000"
-    if plan.zones < 1 or plan.backends.count < 1 or plan.backends.cores < 1:
+    if scenario.zones < 1 or scenario.backends.count < 1 or scenario.backends.cores < 1:
         return "zones, backends.count and backends.cores must be at least 1"
-    for number, each in enumerate(plan.replace):
-        if not 0 <= each.backend < plan.backends.count:
-            return f"replace[{number}].backend names none of the {plan.backends.count} backends"
-    return validate_faults(plan.faults, [*plan.node_names, DRIVER] if plan.change else plan.node_names)
+    for number, replacement in enumerate(scenario.replace):
+        if not 0 <= replacement.backend < scenario.backends.count:
+            return f"replace[{number}].backend is not the index of one of {scenario.backends.count} backends"
+    return validate_faults(
+        scenario.faults, [*scenario.node_names, DRIVER] if scenario.change else scenario.node_names
+    )
 
 
 OFFERINGS = [
@@ -140,512 +149,572 @@
 ]
 
 
-def settings(plan: Scenario, zone: str) -> dict[str, Any]:
-    """Of a node, in the operators' form."""
-    cold = Cold(warm_up=plan.backends.warm_up)
+def node_settings(scenario: Scenario, zone: str) -> dict[str, Any]:
+    """The `settings` of a node's configuration file."""
+    slow_start = SlowStartModel(warm_up=scenario.backends.warm_up)
     return {
-        "Az": zone, "Rank": 0, "ReplicasOfMe": plan.nodes, "Discovery": "on_request", "Classes": OFFERINGS,
+        "Az": zone, "Rank": 0, "ReplicasOfMe": scenario.nodes, "Discovery": "on_request",
+        "Classes": OFFERINGS,
         "PolicyLimits": {"MaxAttempts": 3, "Cancelling": True, "Probes": True, "SecondCopies": False,
                          "ConnectTimeout": 120000, "IdleClose": 60000000, "MaxRetryAfter": 500000,
                          "RetryAfter": True},
-        "Rules": {"ColdShare": cold.share, "WarmUp": round(cold.warm_up * 1e6), "FallMultiple": cold.multiple,
-                  "Fall": round(cold.span * 1e6), "DrainGrace": 500000, "MustAskIn": 10000000},
+        "Rules": {"ColdShare": slow_start.initial_capacity, "WarmUp": round(slow_start.warm_up * 1e6),
+                  "FallMultiple": slow_start.overload_multiple,
+                  "Fall": round(slow_start.overload_window * 1e6), "DrainGrace": 500000,
+                  "MustAskIn": 10000000},
     }  # fmt: skip
 
 
 class ScenarioRun:
+    """One run of a scenario with all its processes, servers and records."""
+
     def __init__(
-        self, plan: Scenario, seed: int, folder: Path, progress: Callable[[str], None] | None
+        self, scenario: Scenario, seed: int, folder: Path, progress: Callable[[str], None] | None
     ) -> None:
-        self.plan, self.seed, self.folder, self.progress = plan, seed, folder, progress
-        self.chance = Random(seed)
-        self.zero = time.monotonic()
-        self.wall = time.time()
-        self.ledger = Ledger()
-        self.listing = Listing()
-        self.views: dict[str, dict[str, list[list[Any]]]] = {}  # as told at /members: [second, state, way]
-        self.last: dict[str, Any] = {}
-        self.happened: list[tuple[float, str, str]] = []
-        self.crashed: list[tuple[float, str, int]] = []
-        self.since: dict[str, float] = {}  # when each process began
-        self.under = 0  # by how many the nodes that run were more than one of them counted
-        network, self.reserved = _network()
-        self.ends = {name: Ends(f"127.{network}.0.{k + 1}", f"127.{network}.1.{k + 1}")
-                     for k, name in enumerate(plan.node_names)}  # fmt: skip
-        self.relay = Relay(self.ends, LinkConditions(plan.faults), Random(seed + 1), self.now)
+        """`folder`: for the files of the nodes. `progress`: takes one line at a time for the user."""
+        self.scenario, self.seed, self.folder, self.progress = scenario, seed, folder, progress
+        self.rng = Random(seed)
+        self.started_at = time.monotonic()
+        self.start_unix_time = time.time()
+        self.effects = EffectLog()
+        self.discovery = DiscoveryServer()
+        # By node and member: [second, state, reachability] for each change that `/members` showed.
+        self.view_history: dict[str, dict[str, list[list[Any]]]] = {}
+        self.last_members: dict[str, Any] = {}  # last response to `/members` by node
+        self.node_events: list[tuple[float, str, str]] = []  # second, kind of action, node
+        self.crashes: list[tuple[float, str, int]] = []  # second, node, exit code
+        self.process_started_at: dict[str, float] = {}
+        self.max_undercount = 0  # running nodes less those that a node counted, at most
+        network, self.reservation = _reserve_network()
+        self.addresses = {name: NodeAddresses(f"127.{network}.0.{k + 1}", f"127.{network}.1.{k + 1}")
+                          for k, name in enumerate(scenario.node_names)}  # fmt: skip
+        self.relay = Relay(self.addresses, LinkConditions(scenario.faults), Random(seed + 1), self.now)
         self.backends: list[Backend] = []
         self.nodes: dict[str, NodeProcess] = {}
-        self.rolling = Rollout(self) if plan.change is not None else None
+        self.rollout = RolloutRun(self) if scenario.change is not None else None
 
     def now(self) -> float:
-        """Seconds of the play; below 0 until all are ready."""
-        return time.monotonic() - self.zero
+        """Seconds since the start of the scenario; until all nodes are ready, since this run was created."""
+        return time.monotonic() - self.started_at
 
-    def say(self, words: str) -> None:
+    def report_progress(self, line: str) -> None:
         if self.progress:
-            self.progress(words)
+            self.progress(line)
 
     async def run(self) -> dict[str, Any]:
-        plan = self.plan
+        """Runs the scenario and returns the result. Raises an exception group with a ScenarioError."""
+        scenario = self.scenario
         async with anyio.create_task_group() as group:
             try:
                 self.group = group
                 self.relay.group = group
-                if plan.membership:
+                if scenario.membership:
                     self.relay.open(group)
-                await self._stand_ins()
-                for name in plan.node_names:
-                    self._node(name)
-                    await self._start(name)
-                addresses = {name: (self.ends[name].own, 8080) for name in plan.node_names}
-                clients = self.clients = Clients(
-                    addresses, OFFERINGS, max(plan.load.rate, 0.001), Random(self.seed + 2), self.now
+                await self._start_stand_ins()
+                for name in scenario.node_names:
+                    self._create_node(name)
+                    await self._start_node(name)
+                node_addresses = {name: (self.addresses[name].own, 8080) for name in scenario.node_names}
+                clients = self.clients = LoadGenerator(
+                    node_addresses, OFFERINGS, max(scenario.load.rate, 0.001), Random(self.seed + 2), self.now
                 )
-                group.start_soon(clients.front)
-                await self._all_ready()
-                self.zero, self.wall = time.monotonic(), time.time()
-                group.start_soon(self._look)
-                group.start_soon(self._faults)
-                if self.rolling is not None:
-                    group.start_soon(self.rolling.run)
-                for each in plan.replace:
-                    group.start_soon(self._replace, each)
-                if plan.load.rate > 0.0:
-                    group.start_soon(clients.arrive, plan.seconds - 1.0)
-                while self.now() < plan.seconds and not self._changed():
-                    await anyio.sleep(min(2.0, max(plan.seconds - self.now(), 0.01)))
-                    served = clients.account.utility
-                    self.say(f"{self.now():6.1f} of {plan.seconds:.0f} s, utility {served:.3f}")
-                merged = await self._one_view() if plan.membership else 0.0
-                rolled = await self.rolling.told() if self.rolling is not None else None
-                return self._result(merged, rolled)
+                group.start_soon(clients.poll_readiness)
+                await self._wait_until_ready()
+                self.started_at, self.start_unix_time = time.monotonic(), time.time()
+                group.start_soon(self._poll_views)
+                group.start_soon(self._apply_node_faults)
+                if self.rollout is not None:
+                    group.start_soon(self.rollout.run)
+                for replacement in scenario.replace:
+                    group.start_soon(self._replace_backend, replacement)
+                if scenario.load.rate > 0.0:
+                    group.start_soon(clients.generate_load, scenario.seconds - 1.0)
+                while self.now() < scenario.seconds and not self._ended_with_rollout():
+                    await anyio.sleep(min(2.0, max(scenario.seconds - self.now(), 0.01)))
+                    utility = clients.stats.utility
+                    self.report_progress(
+                        f"{self.now():6.1f} of {scenario.seconds:.0f} s, utility {utility:.3f}"
+                    )
+                agreed_after = await self._wait_for_one_view() if scenario.membership else 0.0
+                rollout_result = await self.rollout.result() if self.rollout is not None else None
+                return self._result(agreed_after, rollout_result)
             finally:
                 with anyio.CancelScope(shield=True):
-                    self._end_all()
+                    self._stop_all()
                 group.cancel_scope.cancel()
 
-    def _changed(self) -> bool:
-        return self.plan.until_changed and self.rolling is not None and self.rolling.over.is_set()
+    def _ended_with_rollout(self) -> bool:
+        return self.scenario.until_changed and self.rollout is not None and self.rollout.finished.is_set()
 
-    # Before the play.
+    # Before the scenario starts.
 
-    async def _stand_ins(self) -> None:
-        cold = Cold(warm_up=self.plan.backends.warm_up)
-        costs = {each["Name"]: self.plan.load.cost for each in OFFERINGS}
-        for number in range(self.plan.backends.count):
-            backend = Backend(f"b{number:02}", self._zone(number), self.plan.backends.cores, costs, cold,
-                              self.ledger, self.now, -1e6)  # fmt: skip
+    async def _start_stand_ins(self) -> None:
+        slow_start = SlowStartModel(warm_up=self.scenario.backends.warm_up)
+        costs = {offering["Name"]: self.scenario.load.cost for offering in OFFERINGS}
+        for number in range(self.scenario.backends.count):
+            backend = Backend(f"b{number:02}", self.zone(number), self.scenario.backends.cores, costs,
+                              slow_start, self.effects, self.now, -1e6)  # fmt: skip
             await self.group.start(backend.serve)
             self.backends.append(backend)
-            self.listing.put(backend.id, backend.port, backend.zone, 0.0)
-        await self.group.start(self.listing.serve)
+            self.discovery.update(backend.id, backend.port, backend.zone, 0.0)
+        await self.group.start(self.discovery.serve)
 
-    def _zone(self, number: int) -> str:
-        return "abcdefgh"[number % min(self.plan.zones, 8)]
+    def zone(self, number: int) -> str:
+        """The zone of the node or backend with this number."""
+        return "abcdefgh"[number % min(self.scenario.zones, 8)]
 
-    def _node(self, name: str) -> None:
-        number, ends = self.plan.node_names.index(name), self.ends[name]
+    def _create_node(self, name: str) -> None:
+        number, addresses = self.scenario.node_names.index(name), self.addresses[name]
         config = {
-            "name": name, "listen": f"{ends.own}:8080", "discovery": f"127.0.0.1:{self.listing.port}",
+            "name": name, "listen": f"{addresses.own}:8080",
+            "discovery": f"127.0.0.1:{self.discovery.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "settings": settings(self.plan, self._zone(number)), "known": self.listing.whole(),
+            "settings": node_settings(self.scenario, self.zone(number)), "known": self.discovery.full_list(),
         }  # fmt: skip
-        fleet = None
-        if self.plan.membership:
-            seeds = [f"{self.ends[seed].relay}:{PORT}" for seed in self.plan.node_names[: self.plan.seeds]]
-            fleet = {"fleet": "rig", "listen": f"{ends.own}:{PORT}", "advertise": f"{ends.relay}:{PORT}",
-                     "seeds": seeds, "zone": self._zone(number), "hold": self.plan.hold,
-                     "lower_after": self.plan.lower_after}  # fmt: skip
-        keeper = None if self.rolling is None else self.rolling.keeper(name)
-        self.nodes[name] = NodeProcess(name, self.folder / name, config, f"{ends.own}:8081", fleet, keeper)
-
-    async def _start(self, name: str) -> None:
+        fleet_config = None
+        if self.scenario.membership:
+            seeds = [f"{self.addresses[seed].relay}:{MEMBERSHIP_PORT}"
+                     for seed in self.scenario.node_names[: self.scenario.seeds]]  # fmt: skip
+            fleet_config = {"fleet": "rig", "listen": f"{addresses.own}:{MEMBERSHIP_PORT}",
+                            "advertise": f"{addresses.relay}:{MEMBERSHIP_PORT}", "seeds": seeds,
+                            "zone": self.zone(number), "hold": self.scenario.hold,
+                            "lower_after": self.scenario.lower_after}  # fmt: skip
+        keeper_config = None if self.rollout is None else self.rollout.keeper_config(name)
+        self.nodes[name] = NodeProcess(
+            name, self.folder / name, config, f"{addresses.own}:8081", fleet_config, keeper_config
+        )
+
+    async def _start_node(self, name: str) -> None:
         node = self.nodes[name]
         if node.process is not None:
             return
         node.start()
-        self.since[name] = self.now()
-        if self.plan.membership:
-            await self.relay.up(name)
-        self.group.start_soon(self._reap, name)
+        self.process_started_at[name] = self.now()
+        if self.scenario.membership:
+            await self.relay.open_listener(name)
+        self.group.start_soon(self._handle_exit, name)
 
-    async def _reap(self, name: str) -> None:
+    async def _handle_exit(self, name: str) -> None:
         node = self.nodes[name]
-        code = await node.ended()
-        if self.plan.membership:
-            self.relay.down(name)
-        if not node.planned:
-            self.crashed.append((round(self.now(), 2), name, code))
-
-    async def _all_ready(self) -> None:
-        with anyio.move_on_after(READY) as scope:
+        exit_code = await node.wait_for_exit()
+        if self.scenario.membership:
+            self.relay.close_listener(name)
+        if not node.exit_expected:
+            self.crashes.append((round(self.now(), 2), name, exit_code))
+
+    async def _wait_until_ready(self) -> None:
+        with anyio.move_on_after(READY_TIMEOUT_SECONDS) as scope:
             while True:
-                if self.crashed:
-                    raise ScenarioError(f"{self.crashed[0][1]} ended at its start: see its log")
-                told = [await self._ask(name) for name in self.plan.node_names]
+                if self.crashes:
+                    raise ScenarioError(f"{self.crashes[0][1]} exited while starting; see its log")
+                responses = [await self._fetch_members(name) for name in self.scenario.node_names]
                 joined = all(
-                    each is not None and 1 + sum(m["state"] == "alive" for m in each["members"]) == len(told)
-                    for each in told
+                    response is not None
+                    and 1 + sum(m["state"] == "alive" for m in response["members"]) == len(responses)
+                    for response in responses
                 )
-                if len(self.clients.ready) == self.plan.nodes and (joined or not self.plan.membership):
+                if len(self.clients.ready_nodes) == self.scenario.nodes and (
+                    joined or not self.scenario.membership
+                ):
                     return
                 await anyio.sleep(0.1)
         if scope.cancelled_caught:
-            raise ScenarioError(f"the nodes were not ready after {READY:.0f} s")
-
-    # During it.
-
-    async def _faults(self) -> None:
-        for move in node_actions(self.plan.faults, self.chance):
-            await anyio.sleep(max(move.at - self.now(), 0.0))
-            node = self.nodes[move.node]
-            if move.kind in ("kill", "end", "start"):
-                self.happened.append((round(self.now(), 3), move.kind, move.node))
-                self.say(f"{self.now():6.1f} {move.kind} {move.node}")
-            if move.kind == "start":
-                await self._start(move.node)
-            elif move.kind == "stop":
-                node.signal(signal.SIGSTOP)
-            elif move.kind == "go":
-                node.signal(signal.SIGCONT)
-            elif move.kind == "kill":
-                node.planned = True
-                node.signal(signal.SIGKILL)
-            elif move.kind == "end":
-                node.planned = True
-                node.signal(signal.SIGTERM)
-
-    async def _replace(self, each: BackendReplacement) -> None:
-        await anyio.sleep(max(each.at - self.now(), 0.0))
-        backend = self.backends[each.backend]
-        self.listing.put(backend.id, backend.port, backend.zone, 0.0, "terminated")
-        backend.scope.cancel()
-        await anyio.sleep(each.down)
-        backend.started, backend.peak = self.now(), 0.0
+            raise ScenarioError(f"the nodes were not ready after {READY_TIMEOUT_SECONDS:.0f} s")
+
+    # During the scenario.
+
+    async def _apply_node_faults(self) -> None:
+        for action in node_actions(self.scenario.faults, self.rng):
+            await anyio.sleep(max(action.at - self.now(), 0.0))
+            node = self.nodes[action.node]
+            if action.kind in ("kill", "end", "start"):
+                self.node_events.append((round(self.now(), 3), action.kind, action.node))
+                self.report_progress(f"{self.now():6.1f} {action.kind} {action.node}")
+            if action.kind == "start":
+                await self._start_node(action.node)
+            elif action.kind == "stop":
+                node.send_signal(signal.SIGSTOP)
+            elif action.kind == "go":
+                node.send_signal(signal.SIGCONT)
+            elif action.kind == "kill":
+                node.exit_expected = True
+                node.send_signal(signal.SIGKILL)
+            elif action.kind == "end":
+                node.exit_expected = True
+                node.send_signal(signal.SIGTERM)
+
+    async def _replace_backend(self, replacement: BackendReplacement) -> None:
+        await anyio.sleep(max(replacement.at - self.now(), 0.0))
+        backend = self.backends[replacement.backend]
+        self.discovery.update(backend.id, backend.port, backend.zone, 0.0, "terminated")
+        backend.cancel_scope.cancel()
+        await anyio.sleep(replacement.down)
+        backend.started_at, backend.peak_load = self.now(), 0.0
         await self.group.start(backend.serve)
-        self.listing.put(backend.id, backend.port, backend.zone, time.time())
+        self.discovery.update(backend.id, backend.port, backend.zone, time.time())
 
-    async def _ask(self, name: str) -> dict[str, Any] | None:
-        if not self.plan.membership:
+    async def _fetch_members(self, name: str) -> dict[str, Any] | None:
+        """The response of a node to `/members`; None without membership or if the request failed."""
+        if not self.scenario.membership:
             return None
         try:
-            address = self.nodes[name].admin
+            address = self.nodes[name].admin_address
             return await anyio.to_thread.run_sync(fetch, address, "/members", 1.0, abandon_on_cancel=True)
         except (OSError, ValueError):
             return None
 
-    async def _look(self) -> None:
-        if not self.plan.membership:
+    async def _poll_views(self) -> None:
+        if not self.scenario.membership:
             return
         while True:
             async with anyio.create_task_group() as group:
-                for name in self.plan.node_names:
-                    group.start_soon(self._look_at, name)
-            await anyio.sleep(LOOK)
+                for name in self.scenario.node_names:
+                    group.start_soon(self._poll_view, name)
+            await anyio.sleep(MEMBERS_POLL_SECONDS)
 
-    async def _look_at(self, name: str) -> None:
-        told = await self._ask(name)
-        if told is None:
+    async def _poll_view(self, name: str) -> None:
+        response = await self._fetch_members(name)
+        if response is None:
             return
-        self.last[name] = told
-        settled = [each for each in self.running if self.now() - self.since[each] > SETTLED]
-        self.under = max(self.under, len(settled) - told["nodes"])
-        seen = self.views.setdefault(name, {})
-        for line in told["members"]:
-            course = seen.setdefault(line["name"], [])
-            if not course or course[-1][1:] != [line["state"], line["way"]]:
-                course.append([round(self.now(), 2), line["state"], line["way"]])
+        self.last_members[name] = response
+        settled = [
+            node for node in self.running_nodes if self.now() - self.process_started_at[node] > SETTLE_SECONDS
+        ]
+        self.max_undercount = max(self.max_undercount, len(settled) - response["nodes"])
+        view = self.view_history.setdefault(name, {})
+        for member in response["members"]:
+            history = view.setdefault(member["name"], [])
+            if not history or history[-1][1:] != [member["state"], member["way"]]:
+                history.append([round(self.now(), 2), member["state"], member["way"]])
 
     @property
-    def running(self) -> list[str]:
+    def running_nodes(self) -> list[str]:
+        """Names of the nodes that have a process, sorted."""
         return sorted(name for name, node in self.nodes.items() if node.process is not None)
 
-    async def _one_view(self) -> float:
-        """Seconds from the end of the last fault until all hold one true view; inf if they do not in time."""
-        limit = self.plan.holds.one_view_after
-        # Guards against a true view that counts as none, since the play itself went on after the last fault.
-        until = max(self.plan.faults_end_at, self.now()) + (10.0 if limit is None else limit)
+    async def _wait_for_one_view(self) -> float:
+        """Waits until every view holds exactly the running nodes.
+
+        Returns the seconds since the end of the last fault, or inf if the time limit passes first.
+        """
+        limit = self.scenario.holds.one_view_after
+        # Starts at the later of both: the scenario may have gone on beyond the limit after the last fault.
+        deadline = max(self.scenario.faults_end_at, self.now()) + (10.0 if limit is None else limit)
         while True:
-            running = self.running
-            answers: dict[str, Any] = {}
+            running = self.running_nodes
+            responses_by_node: dict[str, Any] = {}
 
-            async def ask(name: str, answers: dict[str, Any] = answers) -> None:
-                answers[name] = await self._ask(name)
+            async def fetch_one(name: str, responses_by_node: dict[str, Any] = responses_by_node) -> None:
+                responses_by_node[name] = await self._fetch_members(name)
 
             async with anyio.create_task_group() as group:
                 for name in running:
-                    group.start_soon(ask, name)
-            told = list(answers.values())
-            views = [sorted([each["name"], *(m["name"] for m in each["members"] if m["state"] in HERE)])
-                     for each in told if each is not None]  # fmt: skip
+                    group.start_soon(fetch_one, name)
+            responses = list(responses_by_node.values())
+            views = [sorted([response["name"],
+                             *(m["name"] for m in response["members"] if m["state"] in PRESENT_STATES)])
+                     for response in responses if response is not None]  # fmt: skip
             if len(views) == len(running) and all(view == running for view in views):
-                return max(self.now() - self.plan.faults_end_at, 0.0)
-            if self.now() > until:
+                return max(self.now() - self.scenario.faults_end_at, 0.0)
+            if self.now() > deadline:
                 return math.inf
             await anyio.sleep(0.1)
 
-    # After it.
+    # After the scenario.
 
-    def _end_all(self) -> None:
+    def _stop_all(self) -> None:
         for node in self.nodes.values():
-            node.end()
-        if self.rolling is not None:
-            self.rolling.end()
+            node.kill()
+        if self.rollout is not None:
+            self.rollout.kill()
         self.relay.close()
-        self.reserved.close()
+        self.reservation.close()
 
-    def changes(self) -> list[dict[str, Any]]:
-        """Of all views, from the nodes' own logs, in order."""
-        done = []
+    def view_changes(self) -> list[dict[str, Any]]:
+        """All changes of members' states since the start, from the logs of the nodes, in order."""
+        changes = []
         for name, node in self.nodes.items():
-            for line in node.lines():
-                if line.get("event") == "member":
-                    at = datetime.fromisoformat(line["timestamp"]).timestamp() - self.wall
-                    done.append({"at": round(at, 3), "by": name, "of": line["member"], "state": line["state"],
-                                 "view": line["view"], "witnesses": line["by"]})  # fmt: skip
-        return sorted((each for each in done if each["at"] >= 0.0), key=lambda each: each["at"])
-
-    def _result(self, merged: float, rolled: dict[str, Any] | None = None) -> dict[str, Any]:
-        changes, account = self.changes(), self.clients.account
-        living = [row for row in account.unanswered if not self._was_hit(row[1], row[2])]
-        cold = {each.id: {"peak": round(each.peak, 3), "falls": each.falls} for each in self.backends}
-        told = {
-            "form": FORM, "seed": self.seed, "plan": msgspec.to_builtins(self.plan),
-            "utility": round(account.utility, 4), "answers": dict(account.answers),
-            "seconds": {str(k): [round(x, 2) for x in v] for k, v in sorted(account.seconds.items())},
-            "doubled": self.ledger.doubled({"pay"}), "wrong": account.wrong,
-            "unanswered_by_living": len(living), "cold": cold, "crashed": self.crashed,
-            "happened": self.happened, "changes": changes, "views": self.views,
-            "one_view_after": None if merged == math.inf else round(merged, 2),
-            "accused": {name: each["accused"] for name, each in self.last.items()},
-            "late": {name: each["late"] for name, each in self.last.items()},
-            "under": self.under, "rollout": rolled,
-            "counted": {name: each["nodes"] for name, each in self.last.items()},
-            "relay": {"passed": self.relay.passed, "dropped": self.relay.dropped, "bytes": self.relay.bytes},
+            for entry in node.log_entries():
+                if entry.get("event") == "member":
+                    at = datetime.fromisoformat(entry["timestamp"]).timestamp() - self.start_unix_time
+                    changes.append({"at": round(at, 3), "by": name, "of": entry["member"],
+                                    "state": entry["state"], "view": entry["view"],
+                                    "witnesses": entry["by"]})  # fmt: skip
+        return sorted((change for change in changes if change["at"] >= 0.0), key=lambda change: change["at"])
+
+    def _result(self, agreed_after: float, rollout_result: dict[str, Any] | None = None) -> dict[str, Any]:
+        changes, stats = self.view_changes(), self.clients.stats
+        unanswered_by_living = [row for row in stats.unanswered if not self._had_fault(row[1], row[2])]
+        slow_starts = {backend.id: {"peak": round(backend.peak_load, 3), "falls": backend.overloads}
+                       for backend in self.backends}  # fmt: skip
+        result = {
+            "form": RESULT_FORMAT_VERSION, "seed": self.seed, "plan": msgspec.to_builtins(self.scenario),
+            "utility": round(stats.utility, 4), "answers": dict(stats.outcomes),
+            "seconds": {str(second): [round(utility, 2) for utility in utilities]
+                        for second, utilities in sorted(stats.utility_by_second.items())},
+            "doubled": self.effects.repeated({"pay"}), "wrong": stats.misdirected,
+            "unanswered_by_living": len(unanswered_by_living), "cold": slow_starts, "crashed": self.crashes,
+            "happened": self.node_events, "changes": changes, "views": self.view_history,
+            "one_view_after": None if agreed_after == math.inf else round(agreed_after, 2),
+            "accused": {name: response["accused"] for name, response in self.last_members.items()},
+            "late": {name: response["late"] for name, response in self.last_members.items()},
+            "under": self.max_undercount, "rollout": rollout_result,
+            "counted": {name: response["nodes"] for name, response in self.last_members.items()},
+            "relay": {"passed": self.relay.forwarded, "dropped": self.relay.dropped,
+                      "bytes": self.relay.forwarded_bytes},
         }  # fmt: skip
-        told["checks"] = verdicts(self.plan, told)
-        told["holds"] = all(each["holds"] for each in told["checks"])
-        return told
+        result["checks"] = evaluate_checks(self.scenario, result)
+        result["holds"] = all(check["holds"] for check in result["checks"])
+        return result
 
-    def _was_hit(self, name: str, at: float) -> bool:
-        """Whether the node was dead, ending or stopped within the life of an invocation sent then."""
+    def _had_fault(self, name: str, at: float) -> bool:
+        """Whether the node was dead, ending or stopped during the life of an invocation sent at `at`."""
         return any(
             name in fault.nodes and fault.at - 1.6 <= at <= max(fault.ends_at, fault.at + 1.0) + 1.0
-            for fault in self.plan.faults
+            for fault in self.scenario.faults
         )
 
 
-HERE = ("alive", "not heard of")
+PRESENT_STATES = ("alive", "not heard of")
 
 
-class Rollout:
-    """The keepers' files, the driver as a process of its own, and the doors between the two."""
+class RolloutRun:
+    """The rollout of a scenario: keepers' files, the driver's process, and the links between the two."""
 
-    def __init__(self, play: ScenarioRun) -> None:
-        self.play, self.change = play, play.plan.change
-        self.file = play.folder / "change.toml"
+    def __init__(self, scenario_run: ScenarioRun) -> None:
+        self.scenario_run, self.spec = scenario_run, scenario_run.scenario.change
+        self.file = scenario_run.folder / "change.toml"
         self.process: subprocess.Popen | None = None
-        self.starts: list[tuple[float, int | None]] = []  # when each driver began, and its exit code
+        self.driver_runs: list[tuple[float, int | None]] = []  # start of each driver, and its exit code
         self.rivals: list[subprocess.Popen] = []
-        self.over = anyio.Event()
+        self.finished = anyio.Event()
 
-    def keeper(self, name: str) -> dict[str, Any]:
-        own = self.play.ends[name].own
-        others = [f"{each.own}:{KEEPER}" for other, each in self.play.ends.items() if other != name]
-        return {"listen": f"{own}:{KEEPER}", "peers": others, "admin": [f"{own}:8081", f"{own}:8082"],
-                "ready": READY}  # fmt: skip
+    def keeper_config(self, name: str) -> dict[str, Any]:
+        """The fields of a node's keeper file that the scenario determines."""
+        own = self.scenario_run.addresses[name].own
+        peers = [f"{addresses.own}:{KEEPER_PORT}" for other, addresses in self.scenario_run.addresses.items()
+                 if other != name]  # fmt: skip
+        return {"listen": f"{own}:{KEEPER_PORT}", "peers": peers, "admin": [f"{own}:8081", f"{own}:8082"],
+                "ready": READY_TIMEOUT_SECONDS}  # fmt: skip
 
-    def _door(self, name: str) -> tuple[str, int]:
-        return (self.play.ends[name].relay, KEEPER)
+    def _relay_address(self, name: str) -> tuple[str, int]:
+        """Where the driver reaches a node's keeper, through the relay."""
+        return (self.scenario_run.addresses[name].relay, KEEPER_PORT)
 
-    def _write(self, file: Path, name: str) -> None:
+    def _write_file(self, file: Path, name: str) -> None:
         change: dict[str, Any] = {"name": name}
-        if self.change.settings:
-            change["settings"] = self.change.settings
-        if self.change.flaw:
-            change["program"] = [sys.executable, "-B", "-m", "thornladder.rig.flawed", self.change.flaw]
-            change["speaks"] = {"orders": FORM_OF_ORDERS}
-        nodes = {name: f"{each.relay}:{KEEPER}" for name, each in self.play.ends.items()}
-        zones = {name: self.play._zone(k) for k, name in enumerate(self.play.plan.node_names)}
-        told = {**self.change.more, "change": change, "nodes": nodes, "zones": zones}
-        file.write_bytes(msgspec.toml.encode(told))
+        if self.spec.settings:
+            change["settings"] = self.spec.settings
+        if self.spec.flaw:
+            change["program"] = [sys.executable, "-B", "-m", "thornladder.rig.flawed", self.spec.flaw]
+            change["speaks"] = {"orders": ORDERS_FORMAT_VERSION}
+        nodes = {name: f"{addresses.relay}:{KEEPER_PORT}"
+                 for name, addresses in self.scenario_run.addresses.items()}  # fmt: skip
+        zones = {name: self.scenario_run.zone(k)
+                 for k, name in enumerate(self.scenario_run.scenario.node_names)}  # fmt: skip
+        plan = {**self.spec.more, "change": change, "nodes": nodes, "zones": zones}
+        file.write_bytes(msgspec.toml.encode(plan))
 
     async def run(self) -> None:
-        play = self.play
-        self._write(self.file, "new")
-        for name in play.plan.node_names:
-            own = (play.ends[name].own, KEEPER)
-            await play.group.start(play.relay.pass_on, DRIVER, name, self._door(name), own)
-        for each in self.change.keepers_paused:
-            play.group.start_soon(self._pause_keeper, *each)
-        await anyio.sleep(max(self.change.at - play.now(), 0.0))
-        for number in range(self.change.rivals):
-            file = play.folder / f"rival{number}.toml"
-            self._write(file, f"rival {number}")
-            self.rivals.append(self._start(file))
-        for at in (*self.change.killed, math.inf):
-            code = await self._drive(at)
-            if code is not None:
+        """Starts the driver at its time, and again after each kill, until it exits by itself."""
+        scenario_run = self.scenario_run
+        self._write_file(self.file, "new")
+        for name in scenario_run.scenario.node_names:
+            own = (scenario_run.addresses[name].own, KEEPER_PORT)
+            await scenario_run.group.start(
+                scenario_run.relay.forward_connections, DRIVER, name, self._relay_address(name), own
+            )
+        for pause in self.spec.keepers_paused:
+            scenario_run.group.start_soon(self._pause_keeper, *pause)
+        await anyio.sleep(max(self.spec.at - scenario_run.now(), 0.0))
+        for number in range(self.spec.rivals):
+            file = scenario_run.folder / f"rival{number}.toml"
+            self._write_file(file, f"rival {number}")
+            self.rivals.append(self._start_driver(file))
+        for kill_at in (*self.spec.killed, math.inf):
+            exit_code = await self._run_driver(kill_at)
+            if exit_code is not None:
                 break
-            await anyio.sleep(self.change.again)
-        self.over.set()
-
-    async def _drive(self, killed: float) -> int | None:
-        """One driver to its end: its exit code, or None where it was killed."""
-        self.process = self._start(self.file)
-        began = self.play.now()
-        while (code := self.process.poll()) is None:
-            if self.play.now() >= killed:
+            await anyio.sleep(self.spec.again)
+        self.finished.set()
+
+    async def _run_driver(self, kill_at: float) -> int | None:
+        """Runs one driver process to its end; returns its exit code, or None if killed at `kill_at`."""
+        self.process = self._start_driver(self.file)
+        started_at = self.scenario_run.now()
+        while (exit_code := self.process.poll()) is None:
+            if self.scenario_run.now() >= kill_at:
                 self.process.kill()
                 self.process.wait()
                 break
             await anyio.sleep(0.05)
-        self.starts.append((round(began, 2), code))
-        self.play.say(f"{self.play.now():6.1f} the driver {'was killed' if code is None else 'ended'}")
-        return code
+        self.driver_runs.append((round(started_at, 2), exit_code))
+        self.scenario_run.report_progress(
+            f"{self.scenario_run.now():6.1f} the driver {'was killed' if exit_code is None else 'exited'}"
+        )
+        return exit_code
 
-    def _start(self, file: Path) -> subprocess.Popen:
+    def _start_driver(self, file: Path) -> subprocess.Popen:
         command = [sys.executable, "-B", "-m", "thornladder.cli", "rollout", "start", str(file)]
         with file.with_suffix(".log").open("ab") as log:
             return subprocess.Popen(command, stdout=log, stderr=log, preexec_fn=ended_with_us(signal.SIGKILL))
 
-    async def _pause_keeper(self, name: str, at: float, lasts: float) -> None:
-        await anyio.sleep(max(at - self.play.now(), 0.0))
-        keeper = self.play.nodes[name].process
+    async def _pause_keeper(self, name: str, at: float, seconds: float) -> None:
+        await anyio.sleep(max(at - self.scenario_run.now(), 0.0))
+        keeper = self.scenario_run.nodes[name].process
         keeper.send_signal(signal.SIGSTOP)
-        await anyio.sleep(lasts)
+        await anyio.sleep(seconds)
         keeper.send_signal(signal.SIGCONT)
 
-    def end(self) -> None:
+    def kill(self) -> None:
+        """Kills all drivers that still run."""
         for process in (self.process, *self.rivals):
             if process is not None and process.poll() is None:
                 process.kill()
                 process.wait()
 
-    async def told(self) -> dict[str, Any]:
-        """What was meant, and what each node holds and runs at the end."""
+    async def result(self) -> dict[str, Any]:
+        """The driver's log, and what each node was ordered to run and runs at the end."""
         nodes: dict[str, Any] = {}
-        for name in self.play.plan.node_names:
-            address = f"{self.play.ends[name].own}:{KEEPER}"
+        for name in self.scenario_run.scenario.node_names:
+            address = f"{self.scenario_run.addresses[name].own}:{KEEPER_PORT}"
             try:
-                told = await anyio.to_thread.run_sync(fetch, address, "/state", 5.0)
+                state = await anyio.to_thread.run_sync(fetch, address, "/state", 5.0)
             except (OSError, ValueError):
                 continue
-            document = told.get("document") or {}
-            counters = told.get("counters") or {}
+            document = state.get("document") or {}
+            counters = state.get("counters") or {}
             nodes[name] = {
                 "order": [document.get("number", 0), document.get("revision", 0)],
-                "line": document.get("lines", {}).get(name, 0), "running": told.get("running", -1),
-                "crashes": told.get("crashes", 0), "refused": told.get("refused", ""),
+                "line": document.get("lines", {}).get(name, 0), "running": state.get("running", -1),
+                "crashes": state.get("crashes", 0), "refused": state.get("refused", ""),
                 "core": counters.get("core", 0.0),
                 "taken": sum(row["counts"][0] for row in counters.get("offerings", {}).values()),
             }  # fmt: skip
         store = Store(log_path(self.file))
         records = []
         for at, record in store.records():
-            new = sum(map(bool, record.document.lines.values())) if record.document else None
-            records.append([round(at - self.play.wall, 2), record.phase, record.stage, record.words, new])
+            new_nodes = sum(map(bool, record.document.lines.values())) if record.document else None
+            records.append([round(at - self.scenario_run.start_unix_time, 2), record.phase, record.stage,
+                            record.words, new_nodes])  # fmt: skip
         store.close()
-        return {"records": records, "nodes": nodes, "drivers": self.starts, "over": self.over.is_set(),
-                "rivals": [process.poll() for process in self.rivals], "orders": self._orders()}  # fmt: skip
-
-    def _orders(self) -> list[list[Any]]:
-        """Second of the play, node, number and revision: each order that a node took or was brought to."""
-        taken = []
-        for name, node in self.play.nodes.items():
-            for line in node.lines():
-                if line.get("event") == "an order was taken":
-                    at = datetime.fromisoformat(line["timestamp"]).timestamp() - self.play.wall
-                    taken.append([round(at, 2), name, *line["order"]])
-        return sorted(taken)
+        return {"records": records, "nodes": nodes, "drivers": self.driver_runs,
+                "over": self.finished.is_set(), "rivals": [process.poll() for process in self.rivals],
+                "orders": self._accepted_orders()}  # fmt: skip
+
+    def _accepted_orders(self) -> list[list[Any]]:
+        """[second of the scenario, node, number, revision] of each order that a node accepted, in order."""
+        accepted = []
+        for name, node in self.scenario_run.nodes.items():
+            for entry in node.log_entries():
+                if entry.get("event") == "an order was taken":
+                    at = (
+                        datetime.fromisoformat(entry["timestamp"]).timestamp()
+                        - self.scenario_run.start_unix_time
+                    )
+                    accepted.append([round(at, 2), name, *entry["order"]])
+        return sorted(accepted)
 
 
 class ScenarioError(Exception):
-    """It could not be played; the text says why."""
+    """The scenario could not be run; the message says why."""
 
 
-def verdicts(plan: Scenario, told: dict[str, Any]) -> list[dict[str, Any]]:
-    """Each thing that must hold, with its figure and its limit. The rules always must."""
+def evaluate_checks(scenario: Scenario, result: dict[str, Any]) -> list[dict[str, Any]]:
+    """Compares a result with its limits. The first six checks are invariants and apply to every scenario."""
     checks: list[dict[str, Any]] = []
 
     def add(name: str, figure: Any, limit: Any, holds: bool) -> None:
         checks.append({"name": name, "figure": figure, "limit": limit, "holds": holds})
 
-    add("once-only invocations with two effects", len(told["doubled"]), 0, not told["doubled"])
-    add("answers made for another invocation", len(told["wrong"]), 0, not told["wrong"])
-    lost = told["unanswered_by_living"]
-    add("invocations left unanswered by a living node", lost, 0, lost == 0)
-    falls = sum(each["falls"] for each in told["cold"].values())
-    add("cold backends pushed over", falls, 0, falls == 0)
-    add("nodes that ended by themselves", len(told["crashed"]), 0, not told["crashed"])
-    add("nodes running beyond those that one counts", told["under"], 0, told["under"] <= 0)
-    want = plan.holds
-    if want.utility is not None:
-        add("utility", told["utility"], want.utility, told["utility"] >= want.utility)
-    if want.one_view_after is not None:
-        took = told["one_view_after"]
-        holds = took is not None and took <= want.one_view_after
-        add("seconds until one true view", took, want.one_view_after, holds)
-    if want.removed is not None:
-        gone = {each["of"] for each in told["changes"] if each["view"] and each["state"] in OUT}
-        add("members removed", sorted(gone), want.removed, gone <= set(want.removed))
-    if want.known_after is not None:
-        kills = [(at, name) for at, what, name in told["happened"] if what == "kill"]
-        worst = max((known(told, at, name) for at, name in kills), default=0.0)
-        figure = None if worst == math.inf else round(worst, 2)
-        add("seconds until a kill is known to all", figure, want.known_after, worst <= want.known_after)
-    if want.accused_by is not None:
-        said = sorted(name for name, count in told["accused"].items() if count)
-        add("members that accused another", said, want.accused_by, set(said) <= set(want.accused_by))
+    add("once-only invocations with two effects", len(result["doubled"]), 0, not result["doubled"])
+    add("answers made for another invocation", len(result["wrong"]), 0, not result["wrong"])
+    unanswered = result["unanswered_by_living"]
+    add("invocations left unanswered by a living node", unanswered, 0, unanswered == 0)
+    overloads = sum(backend["falls"] for backend in result["cold"].values())
+    add("cold backends pushed over", overloads, 0, overloads == 0)
+    add("nodes that ended by themselves", len(result["crashed"]), 0, not result["crashed"])
+    add("nodes running beyond those that one counts", result["under"], 0, result["under"] <= 0)
+    expected = scenario.holds
+    if expected.utility is not None:
+        add("utility", result["utility"], expected.utility, result["utility"] >= expected.utility)
+    if expected.one_view_after is not None:
+        agreed_after = result["one_view_after"]
+        holds = agreed_after is not None and agreed_after <= expected.one_view_after
+        add("seconds until one true view", agreed_after, expected.one_view_after, holds)
+    if expected.removed is not None:
+        removed = {change["of"] for change in result["changes"]
+                   if change["view"] and change["state"] in REMOVED_STATES}  # fmt: skip
+        add("members removed", sorted(removed), expected.removed, removed <= set(expected.removed))
+    if expected.known_after is not None:
+        kills = [(at, name) for at, kind, name in result["happened"] if kind == "kill"]
+        slowest = max((seconds_until_known(result, at, name) for at, name in kills), default=0.0)
+        figure = None if slowest == math.inf else round(slowest, 2)
+        add("seconds until a kill is known to all", figure, expected.known_after,
+            slowest <= expected.known_after)  # fmt: skip
+    if expected.accused_by is not None:
+        accusers = sorted(name for name, count in result["accused"].items() if count)
+        add("members that accused another", accusers, expected.accused_by,
+            set(accusers) <= set(expected.accused_by))  # fmt: skip
     return checks
 
 
-OUT = ("lost", "ended", "left")
+REMOVED_STATES = ("lost", "ended", "left")
 
 
-def known(told: dict[str, Any], at: float, name: str) -> float:
-    """Seconds from `at` until all that run on knew that `name` is gone; inf where one never did."""
-    down = {each for moment, what, each in told["happened"] if what in ("kill", "end") and moment <= at + 0.5}
-    others = [each for each in told["accused"] if each not in down]
-    gone = [each for each in told["changes"] if each["of"] == name and each["view"] and each["state"] in OUT]
-    first = {each["by"]: each["at"] for each in reversed(gone) if each["at"] >= at}
-    return max((first.get(each, math.inf) - at for each in others), default=math.inf)
+def seconds_until_known(result: dict[str, Any], killed_at: float, name: str) -> float:
+    """Seconds from the kill of `name` until all surviving members have removed it; inf if one never does."""
+    down = {
+        node for at, kind, node in result["happened"] if kind in ("kill", "end") and at <= killed_at + 0.5
+    }
+    observers = [node for node in result["accused"] if node not in down]
+    removals = [change for change in result["changes"]
+                if change["of"] == name and change["view"] and change["state"] in REMOVED_STATES]  # fmt: skip
+    first_removal = {change["by"]: change["at"] for change in reversed(removals) if change["at"] >= killed_at}
+    return max((first_removal.get(node, math.inf) - killed_at for node in observers), default=math.inf)
 
 
-def _network() -> tuple[int, socket.socket]:
-    """A number for the second byte of loopback addresses, and the socket that keeps it for this play.
+def _reserve_network() -> tuple[int, socket.socket]:
+    """Chooses the second byte of this run's loopback addresses; returns it with a socket that reserves it.
 
-    Guards against two plays that choose the same one while some of a play's addresses are free.
+    The socket stays open for the whole run. Otherwise another run could choose the same byte while some of
+    the addresses happen to be free.
     """
     for _ in range(200):
-        number = random.SystemRandom().randrange(16, 250)
-        reserved = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        network = random.SystemRandom().randrange(16, 250)
+        reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            reserved.bind((f"127.{number}.255.1", PORT))
-            return number, reserved
+            reservation.bind((f"127.{network}.255.1", MEMBERSHIP_PORT))
+            return network, reservation
         except OSError:
-            reserved.close()
-    raise ScenarioError("no free addresses of the loopback range")
+            reservation.close()
+    raise ScenarioError("no free network in the loopback range")
 
 
 def run_scenario(
-    plan: Scenario, seed: int, progress: Callable[[str], None] | None = None, keep: Path | None = None
+    scenario: Scenario,
+    seed: int,
+    progress: Callable[[str], None] | None = None,
+    keep_folder: Path | None = None,
 ) -> dict[str, Any]:
-    """Plays to the end and returns what happened; raises PlayFailed. `keep`: a folder for the nodes' logs."""
-    # Guards against nodes that stand still while a slow disk takes what they rename: their folder is memory.
+    """Runs a scenario to its end and returns the result. Raises ScenarioError if it cannot be run.
+
+    The files of the nodes go to `keep_folder`, or else to a temporary folder that is removed afterwards.
+    """
+    # In memory if possible, since nodes block while they rename files on a slow disk.
     memory = "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
-    folder = keep or Path(tempfile.mkdtemp(prefix="thornladder-rig-", dir=memory))
-    play = ScenarioRun(plan, seed, folder, progress)
+    folder = keep_folder or Path(tempfile.mkdtemp(prefix="thornladder-rig-", dir=memory))
+    scenario_run = ScenarioRun(scenario, seed, folder, progress)
     try:
-        return anyio.run(play.run, backend_options={"use_uvloop": True})
+        return anyio.run(scenario_run.run, backend_options={"use_uvloop": True})
     except BaseExceptionGroup as group:
-        failed = group.subgroup(ScenarioError)
-        if failed is None:
+        scenario_errors = group.subgroup(ScenarioError)
+        if scenario_errors is None:
             raise
-        error = failed
+        error = scenario_errors
         while isinstance(error, BaseExceptionGroup):
             error = error.exceptions[0]
         raise error from None
     finally:
-        if keep is None:
+        if keep_folder is None:
             shutil.rmtree(folder, ignore_errors=True)
--- a/thornladder/rig/relay.py
+++ b/thornladder/rig/relay.py
@@ -1,8 +1,9 @@
-"""All that nodes say to each other goes through here: one relay address a node, the sender known by its own.
+"""Relays all membership traffic between nodes and applies the link faults to it.
 
-Each node has an address of its own of the loopback range, so each ordered pair has its own faults. While a
-node's process is dead its relay address refuses connections, as the kernel of its machine would; while it is
-only paused or cut off, connections are taken and stay silent.
+Each node has two loopback addresses: its own, by which the relay recognises it as a sender, and its relay
+address, where others reach it. So each ordered pair of nodes can have faults of its own. While the process of
+a node is dead, its relay address refuses connections, as the kernel of its machine would; while the node is
+only paused or cut off, connections are accepted and stay silent.
 """
 
 from __future__ import annotations
@@ -17,137 +18,157 @@
 
 from thornladder.rig.faults import LinkConditions
 
-PORT = 7946
-BATCH = 64  # datagrams read in one go
+MEMBERSHIP_PORT = 7946
+MAX_DATAGRAMS_PER_WAKEUP = 64
 
 
-class Ends(NamedTuple):
-    own: str  # the node's address
-    relay: str  # where others reach it
+class NodeAddresses(NamedTuple):
+    """The loopback addresses of a node."""
+
+    own: str
+    relay: str  # where others reach the node
 
 
 class Relay:
+    """Forwards datagrams and connections between nodes under the link conditions."""
+
     def __init__(
-        self, ends: dict[str, Ends], link_conditions: LinkConditions, chance: Random, now: Callable[[], float]
+        self,
+        addresses: dict[str, NodeAddresses],
+        link_conditions: LinkConditions,
+        rng: Random,
+        now: Callable[[], float],
     ) -> None:
-        """`now`: seconds of the play."""
-        self.ends, self.link_conditions, self.chance, self.now = ends, link_conditions, chance, now
-        self.names = {each.own: name for name, each in ends.items()}
+        """`now`: seconds of the scenario."""
+        self.addresses, self.link_conditions, self.rng, self.now = addresses, link_conditions, rng, now
+        self.name_by_address = {entry.own: name for name, entry in addresses.items()}
         self.sockets: dict[str, socket.socket] = {}
-        self.doors: dict[str, anyio.CancelScope] = {}
-        self.passed = self.dropped = self.bytes = 0
+        self.listeners: dict[str, anyio.CancelScope] = {}
+        self.forwarded = self.dropped = self.forwarded_bytes = 0  # datagrams, datagrams, bytes
 
     def open(self, group: TaskGroup) -> None:
-        """Binds all datagram sockets; raises OSError."""
+        """Binds the UDP sockets and starts forwarding datagrams. Raises OSError."""
         self.group = group
-        for name, each in self.ends.items():
-            raw = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            raw.setblocking(False)
-            raw.bind((each.relay, PORT))
-            self.sockets[name] = raw
-        for name in self.ends:
-            group.start_soon(self._datagrams, name)
+        for name, addresses in self.addresses.items():
+            udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            udp_socket.setblocking(False)
+            udp_socket.bind((addresses.relay, MEMBERSHIP_PORT))
+            self.sockets[name] = udp_socket
+        for name in self.addresses:
+            group.start_soon(self._forward_datagrams, name)
 
     def close(self) -> None:
-        for raw in self.sockets.values():
-            raw.close()
+        """Closes the UDP sockets."""
+        for udp_socket in self.sockets.values():
+            udp_socket.close()
 
-    async def up(self, name: str) -> None:
-        """Its process is there: connections are passed on."""
-        await self.group.start(self._door, name)
+    async def open_listener(self, name: str) -> None:
+        """Accepts connections to a node, whose process has started."""
+        await self.group.start(self._listen, name)
 
-    def down(self, name: str) -> None:
-        """Its process has died: connections are refused from now on."""
-        if scope := self.doors.pop(name, None):
+    def close_listener(self, name: str) -> None:
+        """Refuses connections to a node from now on, since its process has died."""
+        if scope := self.listeners.pop(name, None):
             scope.cancel()
 
-    async def _datagrams(self, target: str) -> None:
-        raw = self.sockets[target]
+    async def _forward_datagrams(self, target: str) -> None:
+        """Forwards all datagrams that arrive at the relay address of `target`."""
+        udp_socket = self.sockets[target]
         while True:
-            await anyio.wait_readable(raw)
-            for _ in range(BATCH):
+            await anyio.wait_readable(udp_socket)
+            for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
                 try:
-                    data, source = raw.recvfrom(65536)
+                    data, source = udp_socket.recvfrom(65536)
                 except (BlockingIOError, InterruptedError):
                     break
                 except OSError:
                     continue
-                sender = self.names.get(source[0])
+                sender = self.name_by_address.get(source[0])
                 if sender is not None:
-                    self._pass(sender, target, data)
+                    self._forward(sender, target, data)
             await anyio.sleep(0)
 
-    def _pass(self, sender: str, target: str, data: bytes) -> None:
-        copies = self.link_conditions.datagram_delays(self.now(), sender, target, len(data), self.chance)
-        self.dropped += not copies
-        for later in copies:
-            self.passed += 1
-            self.bytes += len(data)
-            if later <= 0.002:
+    def _forward(self, sender: str, target: str, data: bytes) -> None:
+        delays = self.link_conditions.datagram_delays(self.now(), sender, target, len(data), self.rng)
+        self.dropped += not delays
+        for delay in delays:
+            self.forwarded += 1
+            self.forwarded_bytes += len(data)
+            if delay <= 0.002:
                 self._deliver(sender, target, data)
             else:
-                self.group.start_soon(self._later, later, sender, target, data)
+                self.group.start_soon(self._deliver_later, delay, sender, target, data)
 
-    async def _later(self, later: float, sender: str, target: str, data: bytes) -> None:
-        await anyio.sleep(later)
+    async def _deliver_later(self, delay: float, sender: str, target: str, data: bytes) -> None:
+        await anyio.sleep(delay)
         self._deliver(sender, target, data)
 
     def _deliver(self, sender: str, target: str, data: bytes) -> None:
-        """From the sender's relay address, so that answers come back by way of here."""
+        """Sends from the sender's relay address, so that the reply comes back through the relay."""
         try:
-            self.sockets[sender].sendto(data, (self.ends[target].own, PORT))
+            self.sockets[sender].sendto(data, (self.addresses[target].own, MEMBERSHIP_PORT))
         except OSError:
             self.dropped += 1
 
-    async def _door(self, target: str, *, task_status: anyio.abc.TaskStatus) -> None:
+    async def _listen(self, target: str, *, task_status: anyio.abc.TaskStatus) -> None:
         with anyio.CancelScope() as scope:
-            listener = await anyio.create_tcp_listener(local_host=self.ends[target].relay, local_port=PORT)
-            self.doors[target] = scope
+            listener = await anyio.create_tcp_listener(
+                local_host=self.addresses[target].relay, local_port=MEMBERSHIP_PORT
+            )
+            self.listeners[target] = scope
             task_status.started()
             async with listener:
-                await listener.serve(lambda stream: self._connection(target, stream))
+                await listener.serve(lambda stream: self._handle_connection(target, stream))
 
-    async def pass_on(self, sender: str, target: str, door: tuple[str, int], own: tuple[str, int], *,
-                      task_status: anyio.abc.TaskStatus) -> None:  # fmt: skip
-        """Connections of one that is no node, to an address of a node's own, under the same weather."""
+    async def forward_connections(
+        self, sender: str, target: str, listen_address: tuple[str, int], target_address: tuple[str, int], *,
+        task_status: anyio.abc.TaskStatus,
+    ) -> None:  # fmt: skip
+        """Forwards connections of a sender that is no node, under the faults of the link to `target`."""
 
-        async def connection(stream: SocketStream) -> None:
+        async def handle_connection(stream: SocketStream) -> None:
             async with stream:
-                await self._both_ways(sender, target, stream, own)
+                await self._forward_both_ways(sender, target, stream, target_address)
 
-        listener = await anyio.create_tcp_listener(local_host=door[0], local_port=door[1])
+        listener = await anyio.create_tcp_listener(local_host=listen_address[0], local_port=listen_address[1])
         task_status.started()
         async with listener:
-            await listener.serve(connection)
+            await listener.serve(handle_connection)
 
-    async def _connection(self, target: str, stream: SocketStream) -> None:
-        sender = self.names.get(stream.extra(anyio.abc.SocketAttribute.remote_address)[0])
+    async def _handle_connection(self, target: str, stream: SocketStream) -> None:
+        sender = self.name_by_address.get(stream.extra(anyio.abc.SocketAttribute.remote_address)[0])
         async with stream:
             if sender is None:
                 return
-            await self._both_ways(sender, target, stream, (self.ends[target].own, PORT))
+            await self._forward_both_ways(
+                sender, target, stream, (self.addresses[target].own, MEMBERSHIP_PORT)
+            )
 
-    async def _both_ways(self, sender: str, target: str, stream: SocketStream, own: tuple[str, int]) -> None:
+    async def _forward_both_ways(
+        self, sender: str, target: str, stream: SocketStream, target_address: tuple[str, int]
+    ) -> None:
+        """Connects to the target and copies both directions until either of them ends."""
         try:
-            onward = await anyio.connect_tcp(*own)
-            async with onward, anyio.create_task_group() as group:
-                group.start_soon(self._carry, sender, target, stream, onward, group)
-                group.start_soon(self._carry, target, sender, onward, stream, group)
+            target_stream = await anyio.connect_tcp(*target_address)
+            async with target_stream, anyio.create_task_group() as group:
+                group.start_soon(self._copy, sender, target, stream, target_stream, group)
+                group.start_soon(self._copy, target, sender, target_stream, stream, group)
         except OSError:
             return
 
-    async def _carry(
+    async def _copy(
         self, sender: str, target: str, source: SocketStream, sink: SocketStream, group: TaskGroup
     ) -> None:
+        """Copies one direction under the link's faults; cancels the group of both directions at its end."""
         try:
             while True:
                 data = await source.receive()
-                size = min(len(data), 1460)
-                later = self.link_conditions.stream_delay(self.now(), sender, target, size, self.chance)
-                if later is None:
-                    await anyio.sleep(10.0)  # cut: nobody waits for as long
+                size = min(len(data), 1460)  # largest segment of a connection over Ethernet
+                delay = self.link_conditions.stream_delay(self.now(), sender, target, size, self.rng)
+                if delay is None:
+                    await anyio.sleep(10.0)  # the link is cut; longer than any peer waits
                     break
-                await anyio.sleep(later)
+                await anyio.sleep(delay)
                 await sink.send(data)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             pass
--- a/thornladder/rig/summary.py
+++ b/thornladder/rig/summary.py
@@ -1,35 +1,36 @@
-"""What happened in a play, for a person."""
+"""Formats the result of a scenario for the terminal."""
 
 from __future__ import annotations
 
 from typing import Any
 
-PLAIN = ("one-sided", "through", "by connection")  # ways that are worth a line
+LISTED_REACHABILITY = ("one-sided", "through", "by connection")  # prefixes of the degraded values
 
 
-def format_summary(told: dict[str, Any]) -> str:
-    plan = told["plan"]
+def format_summary(result: dict[str, Any]) -> str:
+    """Formats load, node events, view changes, degraded links and checks as lines of text."""
+    plan = result["plan"]
     fleet = f"{plan['nodes']} nodes, {plan['backends']['count']} backends"
-    lines = [f"{fleet}, {plan['seconds']:g} s, seed {told['seed']}"]
-    answers = ", ".join(f"{count} {word}" for word, count in sorted(told["answers"].items()))
-    lines.append(f"utility {told['utility']:.3f}; {answers or 'no load'}")
-    for at, what, name in told["happened"]:
-        lines.append(f"  {at:7.2f} s  {what} {name}")
-    lines.append("who thought what of whom, when:")
+    lines = [f"{fleet}, {plan['seconds']:g} s, seed {result['seed']}"]
+    outcomes = ", ".join(f"{count} {outcome}" for outcome, count in sorted(result["answers"].items()))
+    lines.append(f"utility {result['utility']:.3f}; {outcomes or 'no load'}")
+    for at, kind, name in result["happened"]:
+        lines.append(f"  {at:7.2f} s  {kind} {name}")
+    lines.append("changes of members' states:")
     grouped: dict[tuple[str, str], list[tuple[float, str]]] = {}
-    for each in told["changes"]:
-        grouped.setdefault((each["of"], each["state"]), []).append((each["at"], each["by"]))
-    for (of, state), said in sorted(grouped.items(), key=lambda each: min(each[1])):
-        first, last = min(said)[0], max(said)[0]
-        names = sorted({by for _, by in said})
-        who = f"{len(names)} nodes" if len(names) > 4 else ", ".join(names)
-        lines.append(f"  {first:7.2f} to {last:7.2f} s  {of} {state}, so {who}")
-    for by, seen in sorted(told["views"].items()):
-        for of, course in sorted(seen.items()):
-            ways = dict.fromkeys(way for _, _, way in course if way.startswith(PLAIN))
-            lines += [f"  {by} of {of}: {way}" for way in ways]
-    lines.append("what must hold:")
-    for each in told["checks"]:
-        mark = "holds" if each["holds"] else "DOES NOT HOLD"
-        lines.append(f"  {each['name']}: {each['figure']} (limit {each['limit']}): {mark}")
+    for change in result["changes"]:
+        grouped.setdefault((change["of"], change["state"]), []).append((change["at"], change["by"]))
+    for (of, state), observations in sorted(grouped.items(), key=lambda entry: min(entry[1])):
+        first, last = min(observations)[0], max(observations)[0]
+        observers = sorted({by for _, by in observations})
+        observers_text = f"{len(observers)} nodes" if len(observers) > 4 else ", ".join(observers)
+        lines.append(f"  {first:7.2f} to {last:7.2f} s  {of} {state}, seen by {observers_text}")
+    for by, view in sorted(result["views"].items()):
+        for of, history in sorted(view.items()):
+            listed = dict.fromkeys(way for _, _, way in history if way.startswith(LISTED_REACHABILITY))
+            lines += [f"  {by} reaches {of}: {reachability}" for reachability in listed]
+    lines.append("checks:")
+    for check in result["checks"]:
+        verdict = "passed" if check["holds"] else "FAILED"
+        lines.append(f"  {check['name']}: {check['figure']} (limit {check['limit']}): {verdict}")
     return "\n".join(lines)
