--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -1,4 +1,7 @@
-"""The command line. Exit codes: 0 done, 1 it did not hold or could not be done, 2 bad words or a bad file."""
+"""Command line of thornladder.
+
+Exit codes: 0 success, 1 a check failed or the command could not be carried out, 2 bad arguments or files.
+"""
 
 from __future__ import annotations
 
@@ -14,24 +17,31 @@
 from thornladder.fields import MalformedError
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, help=__doc__, pretty_exceptions_enable=False)
-rig = typer.Typer(no_args_is_help=True, help="A fleet on this machine: nodes, backends, clients, and faults.")
-app.add_typer(rig, name="rig")
-rollout = typer.Typer(no_args_is_help=True, help="A change of program or settings over a fleet, in stages.")
-app.add_typer(rollout, name="rollout")
-
-
-def refuse(words: str, code: int = 2) -> NoReturn:
-    print(f"thornladder: {words}", file=sys.stderr)
+rig_app = typer.Typer(
+    no_args_is_help=True, help="Run a test fleet on this machine: nodes, backends, clients, faults."
+)
+app.add_typer(rig_app, name="rig")
+rollout_app = typer.Typer(
+    no_args_is_help=True, help="Roll out a new program or new settings over a fleet, in stages."
+)
+app.add_typer(rollout_app, name="rollout")
+
+
+def exit_with_error(message: str, code: int = 2) -> NoReturn:
+    """Print the error message on one line of standard error and exit with `code`."""
+    print(f"thornladder: {message}", file=sys.stderr)
     raise typer.Exit(code)
 
 
 @app.command()
 def node(
-    config: Annotated[str, typer.Option(envvar="EDGE_CONFIG", help="The node's own file, JSON.")] = "",
-    fleet: Annotated[str, typer.Option(help="A fleet's file, TOML: take part in its membership.")] = "",
-    counters: Annotated[bool, typer.Option("--counters", help="Count, and answer /counters.")] = False,
+    config: Annotated[str, typer.Option(envvar="EDGE_CONFIG", help="The node's settings file, JSON.")] = "",
+    fleet: Annotated[str, typer.Option(help="The fleet's membership file, TOML; joins the fleet.")] = "",
+    counters: Annotated[
+        bool, typer.Option("--counters", help="Count invocations and serve /counters.")
+    ] = False,
 ) -> None:
-    """Run one node in the foreground until SIGTERM; without options as `python -m thornladder` does."""
+    """Run one node in the foreground until SIGTERM. Without options this equals `python -m thornladder`."""
     from thornladder.__main__ import main
 
     extensions: list[Any] = []
@@ -46,7 +56,7 @@
         try:
             extensions.append(Membership(load(fleet)))
         except MalformedError as error:
-            refuse(f"{fleet}: {error}")
+            exit_with_error(f"{fleet}: {error}")
     if config:
         os.environ["EDGE_CONFIG"] = config
     raise typer.Exit(main(extensions))
@@ -54,37 +64,41 @@
 
 @app.command()
 def members(
-    address: Annotated[str, typer.Argument(help="The second address of a node, HOST:PORT.")],
-    as_json: Annotated[bool, typer.Option("--json", help="As the node tells it.")] = False,
+    address: Annotated[str, typer.Argument(help="The admin address of a node, HOST:PORT.")],
+    as_json: Annotated[bool, typer.Option("--json", help="Print the node's answer as JSON.")] = False,
 ) -> None:
-    """Print who is in the fleet, as one node sees it. Exit code 1 where that node cannot tell."""
+    """Print the members of the fleet as one node sees them. Exit code 1 if that node gives no answer."""
     try:
-        told = fetch(address, "/members")
+        view = fetch(address, "/members")
     except (OSError, ValueError) as error:
-        refuse(f"{address}: {error}", 1)
+        exit_with_error(f"{address}: {error}", 1)
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(view))
         return
-    print(f"{told['name']} in fleet {told['fleet']}: counts {told['nodes']} nodes"
-          + (", answered by nobody: it may itself be cut off" if told["alone"] else ""))  # fmt: skip
-    for line in told["members"]:
-        by = f" by {', '.join(line['by'])}" if line["by"] else ""
-        print(f"  {line['name']:12} {line['state']:13} {line['since']:8.1f} s{by}  [{line['way']}]")
+    print(f"{view['name']} in fleet {view['fleet']}: counts {view['nodes']} nodes"
+          + ("; no member answers it, it may itself be cut off" if view["alone"] else ""))  # fmt: skip
+    for entry in view["members"]:
+        witnesses = f" by {', '.join(entry['by'])}" if entry["by"] else ""
+        print(
+            f"  {entry['name']:12} {entry['state']:13} {entry['since']:8.1f} s{witnesses}  [{entry['way']}]"
+        )
 
 
 @app.command()
 def speaks() -> None:
-    """Print the versions of what this program says to others, for a change's file."""
+    """Print the versions of the protocols that this program speaks, as a line for a rollout plan."""
     from thornladder.rollout.counters import PROTOCOL_VERSIONS
 
     print(
-        "speaks = { " + ", ".join(f"{what} = {version}" for what, version in PROTOCOL_VERSIONS.items()) + " }"
+        "speaks = { "
+        + ", ".join(f"{protocol} = {version}" for protocol, version in PROTOCOL_VERSIONS.items())
+        + " }"
     )
 
 
 @app.command()
-def keep(file: Annotated[Path, typer.Argument(help="The keeper's file, TOML.")]) -> None:
-    """Keep one node running what the newest order says, until SIGTERM."""
+def keep(file: Annotated[Path, typer.Argument(help="The keeper's configuration file, TOML.")]) -> None:
+    """Supervise one node until SIGTERM, so that it runs what its newest order assigns."""
     import anyio
     import structlog
 
@@ -94,146 +108,155 @@
     try:
         config = keeper.load(file)
     except MalformedError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     configure_json_logging()
     try:
         anyio.run(keeper.Keeper(config, structlog.get_logger()).run, backend_options={"use_uvloop": True})
     except OSError as error:
-        refuse(str(error), 1)
+        exit_with_error(str(error), 1)
 
 
-FileOfChange = Annotated[Path, typer.Argument(help="The change's file, TOML; its log lies beside it.")]
+PlanFile = Annotated[Path, typer.Argument(help="The rollout plan, TOML; its log is kept beside it.")]
 
 
-def _change(file: Path) -> Any:
+def _load_plan(file: Path) -> Any:
+    """Load the rollout plan, or exit with code 2 if it is malformed."""
     from thornladder.rollout import plan
 
     try:
         return plan.load(file)
     except MalformedError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
 
 
-def _log(file: Path) -> Any:
+def _open_store(file: Path) -> Any:
+    """Open the log beside the plan, or exit with code 2 if it is malformed."""
     from thornladder.rollout import driver, store
 
     try:
         return store.Store(driver.log_path(file))
     except MalformedError as error:
-        refuse(f"{driver.log_path(file)}: {error}")
+        exit_with_error(f"{driver.log_path(file)}: {error}")
 
 
-@rollout.command("plan")
-def rollout_plan(file: FileOfChange) -> None:
-    """Check a change's file and print its stages."""
-    change = _change(file)
-    order, done = change.rollout_order(), 0
-    print(f"{change.change.name}: {len(order)} nodes")
-    for number, size in enumerate(change.stage_sizes(), 1):
-        names = ", ".join(order[done:size]) or "nothing new"
-        print(f"  stage {number}: {names}, {change.watch:g} s at least")
-        done = size
-    if change.members:
-        _agree(file, change)
+@rollout_app.command("plan")
+def rollout_plan(file: PlanFile) -> None:
+    """Check a rollout plan and print its stages."""
+    plan = _load_plan(file)
+    order, covered = plan.rollout_order(), 0
+    print(f"{plan.change.name}: {len(order)} nodes")
+    for number, size in enumerate(plan.stage_sizes(), 1):
+        names = ", ".join(order[covered:size]) or "no further node"
+        print(f"  stage {number}: {names}, {plan.watch:g} s at least")
+        covered = size
+    if plan.members:
+        _check_nodes_match_membership(file, plan)
 
 
-def _agree(file: Path, change: Any) -> None:
+def _check_nodes_match_membership(file: Path, plan: Any) -> None:
+    """Exit with an error unless the nodes of the plan are the members that have not left the fleet."""
     try:
-        told = fetch(change.members, "/members")
+        view = fetch(plan.members, "/members")
     except (OSError, ValueError) as error:
-        refuse(f"{file}: members: {change.members} cannot be asked: {error}", 1)
-    there = {told["name"], *(each["name"] for each in told["members"] if each["state"] != "left")}
-    if differ := sorted(there ^ set(change.nodes)):
-        refuse(f"{file}: nodes: the list and membership differ by {', '.join(differ[:10])}")
+        exit_with_error(f"{file}: members: {plan.members} gave no usable answer: {error}", 1)
+    present = {view["name"], *(member["name"] for member in view["members"] if member["state"] != "left")}
+    if differing := sorted(present ^ set(plan.nodes)):
+        exit_with_error(f"{file}: nodes: plan and membership differ in {', '.join(differing[:10])}")
 
 
-@rollout.command("start")
-def rollout_start(file: FileOfChange) -> None:
-    """Drive a change, or go on with one whose driver died. Exit code 0 done, 1 stopped, undone, overtaken."""
+@rollout_app.command("start")
+def rollout_start(file: PlanFile) -> None:
+    """Drive a rollout, or resume one whose driver died. Exit code 0 done, 1 stopped, undone or overtaken."""
     import anyio
 
     from thornladder.rollout import driver
 
-    change = _change(file)
-    if change.members:
-        _agree(file, change)
-    store = _log(file)
+    plan = _load_plan(file)
+    if plan.members:
+        _check_nodes_match_membership(file, plan)
+    store = _open_store(file)
     try:
-        run = driver.Run(change, store, lambda words: print(words, file=sys.stderr, flush=True))
+        run = driver.Run(plan, store, lambda message: print(message, file=sys.stderr, flush=True))
     except MalformedError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     phase = anyio.run(run.run)
-    why = f", {run.driver.message}" if run.driver.message != phase.value else ""
-    print(f"{change.change.name}: {phase.value}{why}")
+    reason = f", {run.driver.message}" if run.driver.message != phase.value else ""
+    print(f"{plan.change.name}: {phase.value}{reason}")
     raise typer.Exit(0 if phase is driver.Phase.DONE else 1)
 
 
-@rollout.command("status")
-def rollout_status(file: FileOfChange) -> None:
-    """Print what was meant and done, and what each node runs."""
+@rollout_app.command("status")
+def rollout_status(file: PlanFile) -> None:
+    """Print the recorded progress of a rollout and what each node runs."""
     import anyio
 
     from thornladder.rollout import driver
 
-    change, store = _change(file), _log(file)
+    plan, store = _load_plan(file), _open_store(file)
     try:
-        run = driver.Run(change, store, print)
+        run = driver.Run(plan, store, print)
         print(driver.status(store, anyio.run(run.poll_keepers)))
     except MalformedError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
+
 
+def _add_request_command(request: str, help_text: str) -> None:
+    """Register a command that adds `request` to the log, where the driver finds it."""
 
-def _wish(word: str, help: str) -> None:
-    def command(file: FileOfChange) -> None:
-        _change(file)
-        _log(file).add_request(word)
+    def command(file: PlanFile) -> None:
+        _load_plan(file)
+        _open_store(file).add_request(request)
 
-    command.__doc__ = help
-    rollout.command(word)(command)
+    command.__doc__ = help_text
+    rollout_app.command(request)(command)
 
 
-_wish("pause", "The driver that runs goes no further until `go-on`; nodes serve on with what they have.")
-_wish("go-on", "After a pause or a hold; where no driver runs, `start` goes on from here.")
-_wish("stop", "Stop the change: what its plan says at a stop is done.")
-_wish("undo", "Undo the change in stages; where no driver runs, `start` does it.")
+_add_request_command(
+    "pause", "Pause the running driver until `go-on`; nodes keep what they run and serve on."
+)
+_add_request_command("go-on", "Resume after a pause or a hold; if no driver runs, `start` resumes from here.")
+_add_request_command("stop", "Stop the rollout and take the action that its plan sets for a stop.")
+_add_request_command("undo", "Roll back in stages; if no driver runs, `start` does it.")
 
 
-@rig.command("run")
+@rig_app.command("run")
 def rig_run(
-    file: Annotated[Path, typer.Argument(help="Fleet, load, faults and what must hold, TOML.")],
-    result: Annotated[Path | None, typer.Option(help="Where what happened goes, JSON.")] = None,
-    seed: Annotated[int, typer.Option(help="Of all that is drawn.")] = 1,
-    quiet: Annotated[bool, typer.Option("--quiet", help="No progress.")] = False,
+    file: Annotated[Path, typer.Argument(help="Scenario: fleet, load, faults and checks, TOML.")],
+    result: Annotated[Path | None, typer.Option(help="File for the result, JSON.")] = None,
+    seed: Annotated[int, typer.Option(help="Seed of the random generators.")] = 1,
+    quiet: Annotated[bool, typer.Option("--quiet", help="Print no progress.")] = False,
 ) -> None:
-    """Play a file. Exit code 1 where something did not hold, 2 where the file is bad."""
+    """Run a scenario. Exit code 1 if a check failed, 2 if the file is bad."""
     from thornladder.rig import play, summary
 
     try:
-        plan = play.load_scenario(file)
+        scenario = play.load_scenario(file)
     except MalformedError as error:
-        refuse(f"{file}: {error}")
+        exit_with_error(f"{file}: {error}")
     try:
-        told = play.run_scenario(
-            plan, seed, progress=None if quiet else lambda words: print(words, file=sys.stderr)
+        outcome = play.run_scenario(
+            scenario, seed, progress=None if quiet else lambda message: print(message, file=sys.stderr)
         )
     except play.ScenarioError as error:
-        refuse(str(error), 1)
+        exit_with_error(str(error), 1)
     if result is not None:
-        result.write_text(json.dumps(told))
-    print(summary.format_summary(told))
-    raise typer.Exit(0 if told["holds"] else 1)
+        result.write_text(json.dumps(outcome))
+    print(summary.format_summary(outcome))
+    raise typer.Exit(0 if outcome["holds"] else 1)
 
 
-@rig.command("show")
-def rig_show(file: Annotated[Path, typer.Argument(help="What `rig run --result` wrote.")]) -> None:
-    """Print the summary of a play again."""
+@rig_app.command("show")
+def rig_show(
+    file: Annotated[Path, typer.Argument(help="A result file written by `rig run --result`.")],
+) -> None:
+    """Print the summary of an earlier run."""
     from thornladder.rig import summary
 
     try:
-        told = json.loads(file.read_bytes())
+        outcome = json.loads(file.read_bytes())
     except (OSError, ValueError) as error:
-        refuse(f"{file}: {error}")
-    print(summary.format_summary(told))
+        exit_with_error(f"{file}: {error}")
+    print(summary.format_summary(outcome))
 
 
 if __name__ == "__main__":
