--- a/thornladder/measures/points.py
+++ b/thornladder/measures/points.py
@@ -1,4 +1,4 @@
-"""A measurement's points: figure, limit, whether it holds; the same shape for each part."""
+"""Points of a measurement: a figure, its limit and whether it holds, in one format for all measurements."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 
 
 class Points:
+    """Collects points and prints each on standard error, and all as one JSON object at the end."""
+
     def __init__(self, name: str) -> None:
         self.name = name
         self.points: list[dict[str, Any]] = []
 
-    def at_most(self, point: str, figure: float | None, limit: float, seeds: Any, **more: Any) -> None:
-        """No figure counts as one that does not hold."""
-        self._add(point, figure, limit, figure is not None and figure <= limit, seeds, more)
+    def at_most(self, point: str, figure: float | None, limit: float, seeds: Any, **details: Any) -> None:
+        """Adds a figure that must not exceed the limit. None, for no figure, does not hold."""
+        self._add(point, figure, limit, figure is not None and figure <= limit, seeds, details)
 
-    def at_least(self, point: str, figure: float | None, limit: float, seeds: Any, **more: Any) -> None:
-        self._add(point, figure, limit, figure is not None and figure >= limit, seeds, more)
+    def at_least(self, point: str, figure: float | None, limit: float, seeds: Any, **details: Any) -> None:
+        """Adds a figure that must reach the limit. None, for no figure, does not hold."""
+        self._add(point, figure, limit, figure is not None and figure >= limit, seeds, details)
 
-    def record(self, point: str, figure: Any, seeds: Any, **more: Any) -> None:
-        """A figure without a limit."""
-        self._add(point, figure, None, True, seeds, more)
+    def record(self, point: str, figure: Any, seeds: Any, **details: Any) -> None:
+        """Adds a figure without a limit."""
+        self._add(point, figure, None, True, seeds, details)
 
     def _add(
-        self, point: str, figure: Any, limit: Any, holds: bool, seeds: Any, more: dict[str, Any]
+        self, point: str, figure: Any, limit: Any, holds: bool, seeds: Any, details: dict[str, Any]
     ) -> None:
-        shown = round(figure, 4) if isinstance(figure, float) else figure
-        line = {"point": point, "figure": shown, "limit": limit, "holds": holds, "seeds": seeds, **more}
-        self.points.append(line)
-        mark = "" if limit is None else f" (limit {limit}): {'holds' if holds else 'DOES NOT HOLD'}"
-        print(f"{point}: {shown}{mark}", file=sys.stderr, flush=True)
+        rounded = round(figure, 4) if isinstance(figure, float) else figure
+        entry = {"point": point, "figure": rounded, "limit": limit, "holds": holds, "seeds": seeds, **details}
+        self.points.append(entry)
+        verdict = "" if limit is None else f" (limit {limit}): {'holds' if holds else 'DOES NOT HOLD'}"
+        print(f"{point}: {rounded}{verdict}", file=sys.stderr, flush=True)
 
     def close(self) -> int:
-        """The closing line; the exit code."""
-        holds = all(line["holds"] for line in self.points)
+        """Prints the JSON object and returns the exit code: 0 if all points hold, else 1."""
+        holds = all(entry["holds"] for entry in self.points)
         print(json.dumps({"measure": self.name, "holds": holds, "points": self.points}))
         return 0 if holds else 1
