--- a/thornladder/rig/virtual.py
+++ b/thornladder/rig/virtual.py
@@ -19,7 +19,7 @@
 from thornladder.rig.faults import Fault, LinkConditions, NodeAction, VirtualProcess, node_actions
 
 DATAGRAM_HEADER_BYTES = 28  # UDP and IP
-CONNECTION_OVERHEAD_BYTES = 240  # TCP segments that open and close a connection, approximately
+CONNECTION_OVERHEAD_BYTES = 240  # to open and close a connection, approximately
 PROBE_TIMEOUT_SECONDS = 0.5  # of a connection probe
 SYNC_TIMEOUT_SECONDS = 3.0  # of an exchange of whole views
 
