--- a/thornladder/membership/core.py
+++ b/thornladder/membership/core.py
@@ -749,8 +749,8 @@
             return
         if item.state == State.LOST and peer.alive and item.process == peer.item.process:
             # A LOST received from others only adds reports by their witnesses until this member's own probe
-            # fails (see `lost_reported_by`), unless there are already reports of two witnesses and the first is
-            # half the suspicion timeout old. Otherwise views would flap when a partition heals.
+            # fails (see `lost_reported_by`), unless there are already reports of two witnesses and the first
+            # is half the suspicion timeout old. Otherwise views would flap when a partition heals.
             has_lasted = self.now - peer.first_report_at >= 0.5 * self.timing.suspicion_timeout
             if not (len(peer.reports) >= MIN_WITNESSES and has_lasted):
                 for by in item.by.split(","):
