--- a/thornladder/rollout/core.py
+++ b/thornladder/rollout/core.py
@@ -1,8 +1,8 @@
 """Rollout driver as a pure state machine: node reports in, log records and messages to send out. No I/O.
 
 The driver's whole state is in its log records, so a driver that restarts after a crash at any point
-continues where the previous one stopped. A document is logged before it is sent, sending it again is
-harmless, and every step resends it to nodes that hold an older one. The driver changes no node before a
+continues where the previous one stopped. A document is logged before it is sent and may be sent repeatedly
+without harm; every step resends it to nodes that hold an older one. The driver changes no node before a
 majority of the nodes listed in the plan has granted its claim.
 """
 
@@ -21,7 +21,7 @@
 
 
 class Phase(Enum):
-    """Where a rollout stands; the values are stored in the log."""
+    """State of a rollout; the values are stored in the log."""
 
     CLAIM = "claiming"
     BASELINE = "watching what is"
@@ -35,11 +35,12 @@
     REFUSED = "refused"
 
 
-# The driver exits in these phases; an operator may resume from HOLD.
+# The driver process exits in these phases. An operator may resume a rollout from HOLD.
 FINAL_PHASES = frozenset({Phase.DONE, Phase.ROLLED_BACK, Phase.SUPERSEDED, Phase.REFUSED, Phase.HOLD})
-# A changed node that was unreachable for this long is no longer waited for; it gets the document on return.
+# A node that is unreachable this long after its assignment is no longer waited for. It gets the document when
+# it is reachable again.
 UNREACHABLE_AFTER_SECONDS = 30.0
-STALE_COUNTERS_SECONDS = 5.0  # older counters come from a paused node and are not judged
+STALE_COUNTERS_SECONDS = 5.0  # older counters, such as those of a paused node, are not judged
 
 
 class NodeReport(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -47,11 +48,11 @@
 
     name: str
     document: Document | None = None
-    claim: Claim = Claim(0, "")
+    claim: Claim = Claim(0, "")  # the last one granted; number 0: none
     running: int = -1  # index of the variant that serves; -1: none does
     refused: str = ""  # why the node does not run the variant assigned to it
     crashes: int = 0  # unrequested exits of the node so far
-    speaks: dict[str, int] = {}  # protocol versions
+    speaks: dict[str, int] = {}  # version by protocol
     counters: dict[str, Any] | None = None
     age: float = 0.0  # of the counters, in seconds
 
@@ -64,9 +65,9 @@
 class Record(msgspec.Struct, frozen=True):
     """One entry of the driver's log. A document is logged here before it is sent."""
 
-    phase: str
-    stage: int
-    words: str
+    phase: str  # value of a `Phase`
+    stage: int  # from 0
+    words: str  # explanation for the operator
     claim: Claim | None = None
     document: Document | None = None
 
@@ -108,9 +109,9 @@
         self.phase, self.stage, self.message = Phase.CLAIM, 0, ""
         self.claim: Claim | None = None
         self.document: Document | None = None
-        self.phase_started_at: float | None = None  # in this process, not in the one that logged the phase
+        self.phase_started_at: float | None = None  # by this process's clock; None until the next step
         self.pending_since: dict[str, float] = {}  # when each node that is still changing got its assignment
-        self.waiting_reason = ""
+        self.waiting_reason = ""  # why the last step did not advance the rollout
         self.paused = False
         self.harmed_invocations = 0
         for record in records:
@@ -141,11 +142,11 @@
     # Operator requests.
 
     def stop(self, message: str = "a person stopped it") -> list[Action]:
-        """Holds or rolls back, as the plan's `at_stop` says."""
+        """Stops the rollout: holds it or starts a rollback, as the plan's `at_stop` says."""
         return [] if self.finished or self.document is None else self._stop(message)
 
     def roll_back(self) -> list[Action]:
-        """Starts a rollback, also of a change that is done or on hold."""
+        """Starts a rollback, also of a rollout that is done or on hold."""
         if self.document is None or self.phase in (Phase.SUPERSEDED, Phase.REFUSED, Phase.ROLLED_BACK):
             return []
         return self._start_rollback("a person has it undone")
@@ -173,8 +174,8 @@
         if superseded := self._superseded_reason(reports):
             return self._finish(Phase.SUPERSEDED, superseded)
         actions = self._resend_document(reports)
-        too_few = len(reports) < math.ceil(self.plan.see * len(self.plan.nodes) - 1e-9)
-        if too_few and not self.finished:
+        too_few_reachable = len(reports) < math.ceil(self.plan.see * len(self.plan.nodes) - 1e-9)
+        if too_few_reachable and not self.finished:
             self.waiting_reason = f"sees {len(reports)} of {len(self.plan.nodes)} nodes"
             self._restart_observation(now)
             return actions
@@ -196,7 +197,7 @@
         return actions + self._observe_stage(now)
 
     def _superseded_reason(self, reports: Mapping[str, NodeReport]) -> str:
-        """Which node knows of a newer change; empty if none does."""
+        """Names the newer change and a node that knows of it; empty if no node knows of one."""
         for name, report in sorted(reports.items()):
             number = max(report.claim.number, report.document.number if report.document else 0)
             if self.claim is not None and number > self.claim.number:
@@ -204,7 +205,7 @@
         return ""
 
     def _resend_document(self, reports: Mapping[str, NodeReport]) -> list[Action]:
-        """Sends the document to nodes with an older one: a message was lost, or the node was away."""
+        """Sends the document to nodes with an older one, as a message was lost or they were unreachable."""
         if self.document is None:
             return []
         outdated = tuple(
@@ -216,7 +217,10 @@
     # Phases.
 
     def _acquire_claim(self, reports: Mapping[str, NodeReport]) -> list[Action]:
-        """Collects grants; with a majority of the listed nodes, writes the first document of this change."""
+        """Collects grants; with a majority of the listed nodes, writes the first document of this change.
+
+        Ends the rollout if a majority is out of reach or the change may not start on this fleet.
+        """
         if self.claim is None:
             return self._request_new_claim(reports)
         granted = [name for name, report in reports.items() if report.claim == self.claim]
@@ -251,7 +255,10 @@
         return [WriteRecord(record), RequestClaim(tuple(sorted(reports)), self.claim)]
 
     def _combined_patch(self, variants: Sequence[Variant], assignment: Mapping[str, int]) -> dict[str, Any]:
-        """The plan's settings on top of the current patch, if all nodes run the same variant."""
+        """The plan's settings merged into the patch that all nodes use now.
+
+        Drops the current patches if nodes run different variants.
+        """
         current = {assignment[name] for name in assignment}
         base = variants[next(iter(current))].patch if len(current) == 1 else {}
         return apply_merge_patch(base, self.plan.change.settings) if self.plan.change.settings else dict(base)
@@ -269,7 +276,7 @@
         return ""
 
     def _observe_baseline(self, now: float, reports: Mapping[str, NodeReport]) -> list[Action]:
-        """Feeds the judge with unchanged nodes, then starts the first stage."""
+        """Feeds the judge with the counters of unchanged nodes, then starts the first stage."""
         self.judge.add_baseline(_current_counters(reports))
         if now - self.phase_started_at < self.plan.before:
             return []
@@ -281,7 +288,7 @@
     ) -> list[Action]:
         """Moves the next nodes to their variant in `target`, within the plan's limit of unavailable nodes.
 
-        Enters the next phase once all of them run it.
+        Enters the next phase once every node runs its variant in `target`.
         """
         document = self.document
         unavailable = [
@@ -325,9 +332,9 @@
         return self._running_variant(report) == self.document.lines[name]
 
     def _running_variant(self, report: NodeReport) -> int:
-        """Index of the variant that serves there, or -1.
+        """Index of the variant that the reporting node serves with; -1 if none or unknown.
 
-        Indexes of another change's document mean something else, so they count as -1.
+        An index into the variants of another change's document counts as unknown.
         """
         same_change = report.document is not None and report.document.number == self.document.number
         return report.running if same_change else -1
@@ -339,14 +346,17 @@
         on_new = {
             name for name, report in reports.items() if self._running_variant(report) == self.new_variant
         }
-        # A node that is still changing counts for neither side.
+        # A node that does not run its assigned variant yet counts as neither old nor new.
         counters = {name: counters for name, counters in _current_counters(reports).items()
                     if self._running_variant(reports[name]) == self.document.lines[name]}  # fmt: skip
         crashes = {name: report.crashes for name, report in reports.items()}
         self.judge.observe(now, counters, on_new, crashes, set(self.new_variant_nodes()))
 
     def _stop_reason(self, now: float, reports: Mapping[str, NodeReport]) -> str:
-        """Why the rollout must stop; empty if it may continue. Also forgets nodes that have converged."""
+        """Why the rollout must stop; empty if it may continue.
+
+        Also removes nodes that have converged from `pending_since`.
+        """
         for name in self.new_variant_nodes():
             report = reports.get(name)
             if report is not None and report.refused:
@@ -357,14 +367,17 @@
                 del self.pending_since[name]
             elif report is not None and now - since > self.plan.ready:
                 return f"{name} was not ready after {self.plan.ready:g} s"
-        found = self.judge.finding()
-        if found.regressed:
-            return f"new nodes do worse: {found.top_metric}, by {found.mean_difference:+.3f} on average"
+        finding = self.judge.finding()
+        if finding.regressed:
+            return f"new nodes do worse: {finding.top_metric}, by {finding.mean_difference:+.3f} on average"
         return ""
 
     def _observe_stage(self, now: float) -> list[Action]:
-        """Ends the stage once it was observed long enough, with enough invocations and a clear result."""
-        plan, found = self.plan, self.judge.finding()
+        """Ends the stage once it has been observed long enough, with enough invocations and a clear result.
+
+        Holds the rollout if the stage lacks these for too long.
+        """
+        plan, finding = self.plan, self.judge.finding()
         observed_seconds = now - self.phase_started_at
         invocations = self.judge.stage_invocations[1]
         if observed_seconds < plan.watch:
@@ -375,8 +388,8 @@
             reason = f"saw too little: {invocations} of {plan.least} invocations at new nodes"
         elif undersampled := self.judge.undersampled_offerings(plan.least_each):
             reason = f"saw too little of {', '.join(undersampled)}: less than {plan.least_each} at new nodes"
-        elif found.inconclusive:
-            reason = f"is in doubt: {found.top_metric}, by {found.mean_difference:+.3f} on average"
+        elif finding.inconclusive:
+            reason = f"is in doubt: {finding.top_metric}, by {finding.mean_difference:+.3f} on average"
         if reason and observed_seconds > plan.longest * plan.watch:
             return self._transition(
                 Phase.HOLD, self.stage, f"stage {self.stage + 1} {reason}", self._next_revision("hold")
@@ -400,7 +413,7 @@
         return self._transition(Phase.ROLL_BACK, self.stage, message, self._next_revision("undoing"))
 
     def _restart_observation(self, now: float) -> None:
-        """Restarts the observation time: periods with too few visible nodes do not count towards it."""
+        """Restarts the observation time, which must not include periods with too few reachable nodes."""
         if self.phase in (Phase.OBSERVE, Phase.BASELINE):
             self.phase_started_at = now
 
@@ -424,13 +437,13 @@
         return actions
 
     def _finish(self, phase: Phase, message: str) -> list[Action]:
-        """Enters a final phase without a document: this driver no longer owns the fleet."""
+        """Enters a final phase without sending a document: this driver may not change the fleet."""
         self.phase, self.message = phase, message
         return [WriteRecord(Record(phase.value, self.stage, message))]
 
 
 def _current_counters(reports: Mapping[str, NodeReport]) -> dict[str, dict[str, Any]]:
-    """Counters by node, without stale ones."""
+    """Counters by node, without those older than `STALE_COUNTERS_SECONDS`."""
     return {name: report.counters for name, report in reports.items()
             if report.counters and report.age < STALE_COUNTERS_SECONDS}  # fmt: skip
 
--- a/thornladder/rollout/judge.py
+++ b/thornladder/rollout/judge.py
@@ -1,12 +1,17 @@
 """Sequential tests of whether new nodes do worse than old ones over the same period. No I/O.
 
-Each metric has a test that stays valid when it is checked after every observation (testing by betting and
-Ville's inequality: Ramdas et al. 2023). For shares of invocations, a comparison window holds what both sides
-did between two observations. Given the total number of hits in it, the number of hits at new nodes follows
-Fisher's noncentral hypergeometric distribution, which depends on the odds ratio alone, so an incident that
-hits both sides does not affect the test, however severe it is. If no metric regressed, the weighted mean of
-the tests' e-values ever reaches 1/probability with at most that probability, however often it is checked and
-whenever checking stops.
+New nodes run the variant that is being rolled out, old nodes the previous one; these are the two sides. Each
+metric has a test that stays valid when it is checked after every observation (testing by betting and Ville's
+inequality: Ramdas et al. 2023).
+
+A metric that is a share of events, such as bad invocations among all, counts events and the hits among them.
+A comparison window holds both sides' counts since the metric's last comparison. Given the total number of
+hits in a window, the number of hits at new nodes follows Fisher's noncentral hypergeometric distribution, which
+depends on the odds ratio alone. So an incident that affects both sides alike does not affect the test, however
+severe it is.
+
+If no metric regressed, the probability that the weighted mean of the tests' e-values ever reaches 1/p is at
+most p, however often it is checked and whenever checking stops.
 """
 
 from __future__ import annotations
@@ -18,34 +23,35 @@
 
 from thornladder.rollout.plan import Worse
 
-BET_FRACTIONS = (0.1, 0.25, 0.5, 0.8)  # of wealth, bet in parallel: small regressions need small fractions
+# Fractions of the e-value bet on each observation, in parallel: small regressions need small fractions.
+BET_FRACTIONS = (0.1, 0.25, 0.5, 0.8)
 ODDS_RATIO_MULTIPLES = (1.3, 2.0, 4.0)  # of the tolerated odds ratio: the alternatives, tested in parallel
-MIN_CORE_INVOCATIONS = 8  # per side, to compare the core time that an invocation costs
-MAX_HITS = 400  # per window; more are scaled down, as sums of thousands of terms cost more than they tell
-# Largest factor that one window contributes to an e-value. Capping keeps the test valid, and a regression
-# still shows within about 12 windows.
+MIN_CORE_INVOCATIONS = 8  # on a side or in a node's baseline, to compute core time per invocation
+MAX_HITS = 400  # per window; more are scaled down, as sums of thousands of terms are slow and add little
+# Largest factor by which one window multiplies an e-value. Capping keeps the test valid, and a regression is
+# still detected within about 12 windows.
 MAX_GAIN = 2.0
 # The old side is in an incident above this multiple of its own baseline hits plus this share of invocations.
 INCIDENT_THRESHOLDS = (1.4, 0.03)
-RECENT_DECAY = 0.7  # per window, of the old side's recent counts that incidents are detected by
+RECENT_DECAY = 0.7  # per window, of the old side's recent counts, in which incidents are detected
 MIN_RECENT_INVOCATIONS = 30.0  # in those counts, to detect an incident
 INCIDENT_COOLDOWN_SECONDS = 5.0  # after an incident, until windows count again
-RESOURCE_WINDOW_SECONDS = 2.0  # for core and memory
-MEMORY_WARM_UP_SECONDS = 10.0  # after a process starts, in which its memory is ignored
+RESOURCE_WINDOW_SECONDS = 2.0  # between comparisons of core time and memory
+MEMORY_WARM_UP_SECONDS = 10.0  # after a process starts, during which its memory is ignored
 SLOW_QUANTILE = 0.75  # of all latencies before the change: anything above counts as slow
 # Lower bound of the new nodes' assumed share of node-seconds; at the bound it takes three crashes to stop.
 MIN_NEW_TIME_SHARE = 0.05
 BAD_CHANGE_CRASH_SHARE = 0.9  # of all crashes that would be at new nodes under a bad change
 # Shares of the false-stop probability; all other metrics divide the rest equally.
 METRIC_WEIGHTS = {"crashes": 0.2, "memory": 0.1, "core": 0.1}
-MIN_TRAFFIC_SHARE = 0.01  # stages do not wait for offerings with less of the traffic
+MIN_TRAFFIC_SHARE = 0.01  # of all invocations; stages do not wait for offerings with less
 MAX_OFFERINGS, MAX_TENANTS = 30, 20
-PRIOR_INVOCATIONS = 100.0  # weight of the fleet's share when it is blended with a node's own baseline
+PRIOR_INVOCATIONS = 100.0  # weight of the fleet's share when blended with a node's own baseline
 MIN_SHARE = 0.002  # shares are clamped to this before their odds are taken
 
 
 class BoundedMeanTest:
-    """Tests "the mean is at most 0" for observations in [-1, 1]; larger ones are clipped."""
+    """Tests the hypothesis that the mean is at most 0, for observations clipped to [-1, 1]."""
 
     def __init__(self) -> None:
         self.components = [1.0] * len(BET_FRACTIONS)
@@ -60,17 +66,18 @@
 
     @property
     def e_value(self) -> float:
+        """Evidence against the hypothesis: 1 is none, larger is more."""
         return sum(self.components) / len(self.components)
 
 
 class OddsRatioTest:
-    """Tests "the odds ratio of hits, new nodes to old, is at most the tolerated one"."""
+    """Tests the hypothesis that the odds ratio of hits, new nodes to old, is at most the tolerated one."""
 
     def __init__(self) -> None:
         self.components = [1.0] * len(ODDS_RATIO_MULTIPLES)
 
     def observe(self, window: ComparisonWindow, tolerated_odds_ratio: float) -> None:
-        """Adds one window; ignores it if a side has no invocations, or if none or all of them are hits."""
+        """Adds one window; ignores it if a side has no events, or if none or all of the events are hits."""
         old, new = (round(count) for count in window.counts)
         hits = [round(hit) for hit in window.hits]
         total_hits = sum(hits)
@@ -85,18 +92,23 @@
             _likelihood(old, new, total_hits, hits[1], tolerated_odds_ratio * multiple) / null_likelihood
             for multiple in ODDS_RATIO_MULTIPLES
         ]
-        # An incident hits nodes unequally in the window in which it begins; that window must not decide.
+        # Capped because an incident affects nodes unequally in the window in which it begins, and that window
+        # must not decide the test by itself.
         self.components = [
             component * min(gain, MAX_GAIN) for component, gain in zip(self.components, gains, strict=True)
         ]
 
     @property
     def e_value(self) -> float:
+        """Evidence against the hypothesis: 1 is none, larger is more."""
         return sum(self.components) / len(self.components)
 
 
 def _likelihood(old: int, new: int, total_hits: int, new_hits: int, odds_ratio: float) -> float:
-    """Probability that `new_hits` of `total_hits` are at new nodes (Fisher's noncentral hypergeometric)."""
+    """Probability that `new_hits` of `total_hits` are at new nodes (Fisher's noncentral hypergeometric).
+
+    `old` and `new` are the numbers of events on each side.
+    """
     log_odds_ratio = math.log(odds_ratio)
     log_terms = {k: _log_binomial(new, k) + _log_binomial(old, total_hits - k) + k * log_odds_ratio
                  for k in range(max(total_hits - old, 0), min(total_hits, new) + 1)}  # fmt: skip
@@ -118,16 +130,16 @@
 
 
 class CrashTest:
-    """Tests "a crash is as likely per second at a new node as at an old one"."""
+    """Tests the hypothesis that a crash is as likely per second at a new node as at an old one."""
 
     def __init__(self) -> None:
         self.e_value = 1.0
-        self.seconds = [1e-9, 1e-9]  # old, new
+        self.seconds = [1e-9, 1e-9]  # node-seconds observed: old, new
 
     def observe(self, side: int) -> None:
         """Adds one crash: side 0 is old, 1 is new."""
-        # Without the lower bound, a single chance crash right after a change would stop it, as new nodes have
-        # run for only a few seconds by then.
+        # Without the lower bound, a single random crash right after a change would stop the rollout, as new
+        # nodes have run for only a few seconds by then.
         new_share = min(max(self.seconds[1] / sum(self.seconds), MIN_NEW_TIME_SHARE), BAD_CHANGE_CRASH_SHARE)
         self.e_value *= (
             BAD_CHANGE_CRASH_SHARE / new_share if side else (1.0 - BAD_CHANGE_CRASH_SHARE) / (1.0 - new_share)
@@ -137,18 +149,18 @@
 class CounterTotals(NamedTuple):
     """One node's counters since its process started, or the difference of two such totals."""
 
-    offerings: dict[str, list[int]]
-    tenants: dict[str, list[int]]
+    offerings: dict[str, list[int]]  # row of counts by offering
+    tenants: dict[str, list[int]]  # row of counts by tenant
     latencies: dict[str, dict[int, int]]  # by offering: counts by upper bound in microseconds
     core_seconds: float
     memory_bytes: float
 
 
-INVOCATIONS, BAD, EXTRA_PUSHES = 0, 1, 6  # places in a row of counts
+INVOCATIONS, BAD, EXTRA_PUSHES = 0, 1, 6  # indexes into a row of counts
 
 
 def counter_totals(counters: Mapping[str, Any]) -> CounterTotals:
-    """Extracts the totals from a response of `GET /counters`."""
+    """Extracts the totals from a response to `GET /counters`."""
     rows = counters["offerings"]
     return CounterTotals(
         {name: row["counts"] for name, row in rows.items()}, counters["tenants"],
@@ -184,6 +196,7 @@
     baseline_hits: list[float] = field(default_factory=lambda: [0.0, 0.0])  # expected by the nodes' baselines
 
     def add(self, side: int, count: float, hits: float, baseline_share: float) -> None:
+        """Adds a node's events and hits to its side: 0 is old, 1 is new."""
         self.counts[side] += count
         self.hits[side] += hits
         self.baseline_hits[side] += count * baseline_share
@@ -193,7 +206,11 @@
         return self.hits[1] / self.counts[1] - self.hits[0] / self.counts[0]
 
     def tolerated_odds_ratio(self, tolerance: float) -> float:
-        """Odds ratio of a share larger by `tolerance`, times the sides' odds ratio before the change."""
+        """Largest odds ratio, new to old, that is no regression.
+
+        It is that of a hit share larger by `tolerance`, times the odds ratio of the sides' baselines if that
+        is above 1.
+        """
         share = sum(self.hits) / sum(self.counts)
         baseline_shares = [hits / count for hits, count in zip(self.baseline_hits, self.counts, strict=True)]
         return max(_odds(share + tolerance) / _odds(share), 1.01) * max(
@@ -209,7 +226,7 @@
     invocations: int = 0
     expected_core_seconds: float = 0.0  # for these invocations, by the nodes' own baselines
     memory_growth_bytes: float = 0.0
-    node_seconds: float = 0.0  # over which memory was measured
+    node_seconds: float = 0.0  # over which memory growth was measured
 
 
 class LastSeen(NamedTuple):
@@ -224,32 +241,32 @@
     """Result of all tests so far."""
 
     regressed: bool
-    e_value: float  # regressed from 1/probability on
+    e_value: float  # weighted mean over all tests; regressed from 1/false_stop_probability on
     top_metric: str  # the metric with the strongest evidence
     mean_difference: float  # of that metric, new minus old
-    inconclusive: bool  # not regressed, but close to it
+    inconclusive: bool  # not regressed, but the e-value is above the square root of that limit
 
 
 class Judge:
-    """Compares new nodes with old ones during a rollout, relative to their baselines before it."""
+    """Compares new nodes with old ones during a rollout, each relative to its baseline before the change."""
 
     def __init__(self, tolerances: Worse, false_stop_probability: float) -> None:
         """`false_stop_probability` bounds the chance that a sound change is ever found to regress."""
         self.tolerances, self.false_stop_probability = tolerances, false_stop_probability
         self.last_seen: dict[str, LastSeen] = {}
-        self.node_baselines: dict[tuple[str, str, str], list[float]] = {}  # node, kind, name: count, hits
-        self.fleet_baselines: dict[tuple[str, str], list[float]] = {}
+        self.node_baselines: dict[tuple[str, str, str], list[float]] = {}  # count, hits; see `_counts`
+        self.fleet_baselines: dict[tuple[str, str], list[float]] = {}  # the same over all nodes
         self.baseline_latencies: dict[str, dict[int, int]] = {}  # by offering
         self.slow_limits: dict[str, int] = {}  # microseconds, by offering
         self.tests: dict[str, BoundedMeanTest | OddsRatioTest] = {}
-        self.incident_until: dict[str, float] = {}  # windows are discarded until then
+        self.incident_until: dict[str, float] = {}  # by metric: windows are discarded until then
         self.recent_old: dict[str, list[float]] = {}  # old side, decayed: count, hits, baseline hits
-        self.windows: dict[str, ComparisonWindow] = {}
-        self.differences: dict[str, list[float]] = {}  # number of observations and their sum
+        self.windows: dict[str, ComparisonWindow] = {}  # by metric
+        self.differences: dict[str, list[float]] = {}  # by metric: number of observations and their sum
         self.crash_test = CrashTest()
-        self.crash_counts: dict[str, int] = {}
+        self.crash_counts: dict[str, int] = {}  # by node, as of the last observation
         self.baseline_core: dict[str, list[float]] = {}  # by node: core seconds, invocations
-        self.resources = (ResourceUse(), ResourceUse())
+        self.resources = (ResourceUse(), ResourceUse())  # old, new
         self.resources_compared_at = 0.0
         self.stage_invocations = [0, 0]  # old, new; since the stage began
         self.stage_invocations_by_offering: dict[str, int] = {}  # at new nodes
@@ -257,7 +274,7 @@
     # Before the change.
 
     def add_baseline(self, counters: Mapping[str, Mapping[str, Any]]) -> None:
-        """Learns from each node's counters while no node has changed yet."""
+        """Adds the nodes' counters to their baselines; called while no node has changed yet."""
         for name, step, _ in self._steps(counters):
             core = self.baseline_core.setdefault(name, [0.0, 0.0])
             core[0] += step.core_seconds
@@ -270,7 +287,10 @@
             self._add_baseline_latencies(step)
 
     def start_without_baseline(self, counters: Mapping[str, Mapping[str, Any]]) -> None:
-        """Starts after a driver restart has lost the baselines: sides are only compared to each other."""
+        """Starts the comparison after a restart of the driver, which lost the baselines.
+
+        The sides are then compared with each other alone.
+        """
         self.add_baseline(counters)
         for name in counters:
             totals = counter_totals(counters[name])
@@ -287,7 +307,7 @@
                 total[bound] = total.get(bound, 0) + count
 
     def start_comparison(self) -> None:
-        """Ends the baseline: sets the limits of what counts as slow, and creates the tests."""
+        """Ends the baseline: sets the latency above which invocations count as slow; creates the tests."""
         for offering, latencies in self.baseline_latencies.items():
             remaining = SLOW_QUANTILE * sum(latencies.values())
             for bound in sorted(latencies):
@@ -306,7 +326,10 @@
         self.stage_invocations, self.stage_invocations_by_offering = [0, 0], {}
 
     def undersampled_offerings(self, min_invocations: int) -> list[str]:
-        """Offerings with fewer invocations at new nodes in this stage, except those with little traffic."""
+        """Offerings with fewer than `min_invocations` at new nodes in this stage.
+
+        Offerings with little traffic are left out.
+        """
         counts = {subject: count for (kind, subject), (count, _) in self.fleet_baselines.items()
                   if kind == "further"}  # fmt: skip
         min_traffic = MIN_TRAFFIC_SHARE * sum(counts.values())
@@ -322,7 +345,7 @@
         self, now: float, counters: Mapping[str, Mapping[str, Any]], new: Iterable[str],
         crashes: Mapping[str, int] | None = None, assigned: Iterable[str] = (),
     ) -> None:  # fmt: skip
-        """Adds the counters of all nodes that have converged.
+        """Adds the counters of all nodes that run their assigned variant.
 
         `new` are the nodes that run the new variant; all others in `counters` run the old one. `crashes` are
         each node's crashes so far. Crashes of nodes in `assigned`, which are to run the new variant, count
@@ -392,7 +415,10 @@
         return {**METRIC_WEIGHTS, **dict.fromkeys(others, equal_share)}
 
     def _steps(self, counters: Mapping[str, Mapping[str, Any]]) -> list[tuple[str, CounterTotals, float]]:
-        """Node, counter increase and seconds since the last call; skips processes seen for the first time."""
+        """Node, increase of its counters and seconds since the last call.
+
+        Leaves out processes that are seen for the first time.
+        """
         steps = []
         for name in sorted(counters):
             current = LastSeen(
@@ -408,7 +434,7 @@
         return steps
 
     def _counts(self, step: CounterTotals, slow: bool = True) -> list[tuple[str, str, float, float]]:
-        """Kind of metric, offering or tenant, number of events, number of hits among them."""
+        """For each share metric: its kind, its offering or tenant, the number of events and of hits."""
         counts: list[tuple[str, str, float, float]] = []
         for offering, row in list(step.offerings.items())[:MAX_OFFERINGS]:
             counts.append(("bad", offering, row[INVOCATIONS], row[BAD]))
@@ -422,17 +448,17 @@
         return counts
 
     def _baseline_share(self, name: str, kind: str, subject: str) -> float:
-        """This node's hit share before the change, shrunk towards the fleet's where there is little data."""
+        """The node's hit share before the change, shrunk towards the fleet's where there is little data."""
         count, hits = self.node_baselines.get((name, kind, subject), (0.0, 0.0))
         fleet_count, fleet_hits = self.fleet_baselines.get((kind, subject), (0.0, 0.0))
         fleet_share = fleet_hits / fleet_count if fleet_count else 1.0 - SLOW_QUANTILE
         return (hits + PRIOR_INVOCATIONS * fleet_share) / (count + PRIOR_INVOCATIONS)
 
     def _compare_shares(self, now: float, key: str, window: ComparisonWindow) -> None:
-        """Tests one metric's window, unless an incident was on at the previous window.
+        """Tests one metric's window, unless earlier windows show an incident.
 
-        Incidents hit nodes unequally, so their windows do not count. The decision uses earlier windows only:
-        choosing a window by its own contents would bias the test.
+        An incident affects nodes unequally, so windows during it do not count. Only earlier windows decide
+        that: selecting a window by its own contents would bias the test.
         """
         calm = now >= self.incident_until.get(key, -math.inf)
         factor, extra_share = INCIDENT_THRESHOLDS
@@ -458,7 +484,10 @@
         self.tests[key].observe(value)
 
     def _compare_resources(self) -> None:
-        """Core and memory are unbounded, so only whether the tolerance is exceeded is observed."""
+        """Compares core time and memory growth since the last comparison.
+
+        Both are unbounded, so the tests observe only whether the tolerance is exceeded.
+        """
         old, new = self.resources
         if (
             min(old.invocations, new.invocations) >= MIN_CORE_INVOCATIONS
--- a/thornladder/shares/explore.py
+++ b/thornladder/shares/explore.py
@@ -45,9 +45,8 @@
     now: float = 0.0
     cores: dict[str, Any] = field(default_factory=dict)  # None: not running
     in_flight: list[InFlight] = field(default_factory=list)
-    dead_usage: list[tuple[float, int]] = field(
-        default_factory=list
-    )  # of killed processes: end of the window, units in use in it
+    # By killed process: end of the window, units in use in it.
+    dead_usage: list[tuple[float, int]] = field(default_factory=list)
     stopped: str = ""  # name of the paused process
     duplicates_left: int = 1
     pauses_left: int = 1
