--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -67,13 +67,13 @@
         command = [sys.executable, "-m", "thornladder.cli", *arguments]
         return subprocess.run(command, capture_output=True, text=True)
 
-    file = tmp_path / "play.toml"
+    file = tmp_path / "scenario.toml"
     file.write_text("seconds = 2\nnodes = 2\n[load]\nrate = 10\n[holds]\none_view_after = 60\n")
-    completed = run_cli("rig", "run", str(file), "--result", str(tmp_path / "told.json"))
+    completed = run_cli("rig", "run", str(file), "--result", str(tmp_path / "result.json"))
     assert completed.returncode == 0 and "checks:" in completed.stdout and "utility" in completed.stderr, (
         completed.stderr
     )
-    assert run_cli("rig", "show", str(tmp_path / "told.json")).stdout == completed.stdout
+    assert run_cli("rig", "show", str(tmp_path / "result.json")).stdout == completed.stdout
     expected_errors = {"seconds = 2\nnoddes = 2": "noddes", "seconds = 0": "seconds",
                        "nodes = 2": "seconds",
                        "seconds = 2\n[[faults]]\nkind = 'kill'\nat = 1\nnodes = ['x']":
--- a/thornladder/rig/clients.py
+++ b/thornladder/rig/clients.py
@@ -16,6 +16,7 @@
 
 READINESS_POLL_SECONDS = 0.5  # between the front's readiness probes of a node
 READINESS_TIMEOUT_SECONDS = 2.0  # long enough that a busy machine does not make nodes look down
+MAX_IDLE_CONNECTIONS = 64  # to a node
 MAX_IDLE_SECONDS = 1.0  # an idle connection is not reused after this; nodes keep idle ones open for longer
 # An invocation counts as unanswered only this long after its cut-off: the rig itself may be late, and a busy
 # machine must not look like a node that does not answer.
@@ -155,7 +156,7 @@
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(connection.stream)
             raise
-        if connection.start_next_cycle() and len(idle) < 64:
+        if connection.start_next_cycle() and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append((self.now(), connection))
         else:
             await anyio.aclose_forcefully(connection.stream)
--- a/thornladder/rig/faults.py
+++ b/thornladder/rig/faults.py
@@ -13,6 +13,7 @@
 LINK_KINDS = frozenset(LinkKind.__args__)
 ANY_NODE = "*"
 RETRANSMIT_SECONDS = 0.2  # delay of a lost segment of a connection; a common retransmission timeout
+MAX_RETRANSMIT_SECONDS = 5.0  # no further losses of a segment after that
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -114,7 +115,7 @@
             if fault.kind == "cut" or (fault.kind == "large" and size > fault.bytes):
                 return None
             if fault.kind == "loss":
-                while rng.random() < fault.share and delay < 5.0:
+                while rng.random() < fault.share and delay < MAX_RETRANSMIT_SECONDS:
                     delay += RETRANSMIT_SECONDS
             elif fault.kind in ("delay", "jitter"):
                 delay += fault.seconds * (1.0 if fault.kind == "delay" else rng.random())
--- a/thornladder/rig/relay.py
+++ b/thornladder/rig/relay.py
@@ -1,4 +1,4 @@
-"""Relays all membership traffic between nodes and applies the link faults to it.
+"""Relays membership traffic between nodes, and other connections on request, under the link faults.
 
 Each node has two loopback addresses: its own, by which the relay recognises it as a sender, and its relay
 address, where others reach it. So each ordered pair of nodes can have faults of its own. While the process of
@@ -20,6 +20,9 @@
 
 MEMBERSHIP_PORT = 7946
 MAX_DATAGRAMS_PER_WAKEUP = 64
+MAX_IMMEDIATE_SECONDS = 0.002  # a datagram with a delay of up to this is delivered without a task
+MAX_SEGMENT_BYTES = 1460  # of a TCP connection over Ethernet
+CUT_CONNECTION_SECONDS = 10.0  # a connection over a cut link is silent for longer than any peer waits
 
 
 class NodeAddresses(NamedTuple):
@@ -35,12 +38,12 @@
     def __init__(
         self,
         addresses: dict[str, NodeAddresses],
-        link_conditions: LinkConditions,
+        network: LinkConditions,
         rng: Random,
         now: Callable[[], float],
     ) -> None:
         """`now`: seconds of the scenario."""
-        self.addresses, self.link_conditions, self.rng, self.now = addresses, link_conditions, rng, now
+        self.addresses, self.network, self.rng, self.now = addresses, network, rng, now
         self.name_by_address = {entry.own: name for name, entry in addresses.items()}
         self.sockets: dict[str, socket.socket] = {}
         self.listeners: dict[str, anyio.CancelScope] = {}
@@ -89,12 +92,12 @@
             await anyio.sleep(0)
 
     def _forward(self, sender: str, target: str, data: bytes) -> None:
-        delays = self.link_conditions.datagram_delays(self.now(), sender, target, len(data), self.rng)
+        delays = self.network.datagram_delays(self.now(), sender, target, len(data), self.rng)
         self.dropped += not delays
         for delay in delays:
             self.forwarded += 1
             self.forwarded_bytes += len(data)
-            if delay <= 0.002:
+            if delay <= MAX_IMMEDIATE_SECONDS:
                 self._deliver(sender, target, data)
             else:
                 self.group.start_soon(self._deliver_later, delay, sender, target, data)
@@ -163,10 +166,10 @@
         try:
             while True:
                 data = await source.receive()
-                size = min(len(data), 1460)  # largest segment of a connection over Ethernet
-                delay = self.link_conditions.stream_delay(self.now(), sender, target, size, self.rng)
+                size = min(len(data), MAX_SEGMENT_BYTES)
+                delay = self.network.stream_delay(self.now(), sender, target, size, self.rng)
                 if delay is None:
-                    await anyio.sleep(10.0)  # the link is cut; longer than any peer waits
+                    await anyio.sleep(CUT_CONNECTION_SECONDS)
                     break
                 await anyio.sleep(delay)
                 await sink.send(data)
--- a/thornladder/rig/standins.py
+++ b/thornladder/rig/standins.py
@@ -16,6 +16,7 @@
 
 REJECTED_HEADERS = [("X-Rejected", "1")]
 MAX_WAITING = 200  # invocations waiting or running at a backend; further ones are rejected
+OVERLOAD_SECONDS = 3.0  # for which an overloaded backend rejects everything
 
 
 @dataclass(frozen=True)
@@ -129,7 +130,7 @@
     """A backend with a number of cores, a queue and a cost per offering.
 
     It is in slow start after its start. If it receives too much work then, it is overloaded: it fails health
-    probes and rejects invocations for 3 seconds, and goes through slow start again.
+    probes and rejects invocations for OVERLOAD_SECONDS, and goes through slow start again.
     """
 
     def __init__(
@@ -181,7 +182,7 @@
             self.peak_load = max(self.peak_load, len(self.recent_pushes) / self.overload_threshold())
             if self.peak_load > 1.0:
                 self.overloads += 1
-                self.overloaded_until = now + 3.0
+                self.overloaded_until = now + OVERLOAD_SECONDS
                 self.started_at, self.peak_load = self.overloaded_until, 0.0
                 return 503, REJECTED_HEADERS, b""
         headers = dict(head.headers)
