--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -37,7 +37,7 @@
     )  # fmt: skip
     result = play.run_scenario(scenario, 1)
     assert result["holds"], summary.format_summary(result)
-    # Each other node removed the killed one once, on the word of two witnesses, and took it back once.
+    # Each other node removed the killed one once, after reports of two witnesses, and added it again once.
     for name in ("n00", "n02", "n03"):
         history = [(change["state"], len(change["witnesses"]) >= 2) for change in result["changes"]
                    if (change["by"], change["of"], change["view"]) == (name, "n01", True)]  # fmt: skip
--- a/thornladder/rig/faults.py
+++ b/thornladder/rig/faults.py
@@ -29,7 +29,7 @@
     Node faults apply to `nodes`:
     - pause: stopped for `lasts` seconds.
     - freeze: stopped for 0.1 to 0.5 s again and again, with pauses of the same length between.
-    - rob: stopped for `seconds` again and again, with only 0.05 s between.
+    - rob: stopped for `seconds` again and again, with only 0.05 s between, as when starved of CPU.
     - kill, end, start: killed with SIGKILL, ended in order with SIGTERM, started again.
     """
 
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -5,10 +5,10 @@
     none                   no fault
     start                  exits at its start with code 3
     tenth                  exits with code 3 at its tenth invocation
-    after:SECONDS          exits with code 3 after so many seconds
+    after:SECONDS          exits with code 3 after this time
     unready                never becomes ready: sleeps for an hour before it starts
     leak:BYTES_A_SECOND    leaks memory at this rate
-    slow:OFFERING:SECONDS  blocks for so many seconds at each invocation of the offering
+    slow:OFFERING:SECONDS  blocks for this time at each invocation of the offering
     nack:SHARE             nacks this share of the invocations
 """
 
--- a/thornladder/rig/processes.py
+++ b/thornladder/rig/processes.py
@@ -1,4 +1,4 @@
-"""Node processes, started by the ordinary command; each is killed when the rig ends, however it ends."""
+"""Node processes, started by the ordinary command; each is killed when the rig exits in any way."""
 
 from __future__ import annotations
 
--- a/thornladder/rig/standins.py
+++ b/thornladder/rig/standins.py
@@ -31,7 +31,7 @@
 
 @dataclass
 class EffectLog:
-    """The effects of each invocation, recorded by the rig itself so that no node can distort them."""
+    """The effects of each invocation, as recorded by the backends in the process of the rig, not by nodes."""
 
     effects: dict[str, list[tuple[float, str, str]]] = field(default_factory=dict)  # at, offering, backend
 
