--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -268,7 +268,11 @@
 
 
 class Push:
-    """One push of an invocation; times and `cost`, the expected work, are in seconds."""
+    """One push of an invocation. Times and work are in seconds.
+
+    `cost` is its own expected work, `queued_work` the expected work ahead of it at the backend when it was
+    sent; `idle` tells whether there was almost none.
+    """
 
     outcome: Outcome | None = None
     # Its offering and tenant; seconds that these wait for a dependency, whichever backend serves them.
