--- a/thornladder/node/host.py
+++ b/thornladder/node/host.py
@@ -1,7 +1,7 @@
 """Runs the decision module of one node: gives it a clock and timers, and delivers events to it one at a time.
 
-No call that the module makes here leads back into it: pushes, cancels and timers run as tasks of their own,
-and responses are handed to the clients' side, which writes them later.
+The module's calls to the host never re-enter the module: pushes, cancels and timers run as tasks of their
+own, and responses are handed to the client connections, which write them later.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 class EventLoopLag:
     """Decaying peak of the event loop's lag over about the last second, measured by timers that fire late."""
 
-    THRESHOLD_SECONDS = 0.005  # a shorter wait is no more than a response takes on its way back
+    THRESHOLD_SECONDS = 0.005  # a shorter lag is no more than a response takes on its way to the client
     DECAY = 0.97  # per timer; about twenty fire each second while anything is in flight
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether received data has waited long enough that it is worth finding out for how long."""
+        """Whether the lag is so long that it is worth measuring how long received data has waited."""
         return self.peak > self.THRESHOLD_SECONDS
 
     def observe(self, delay: float) -> None:
@@ -59,21 +59,24 @@
 class NodeHost:
     """Connects the decision module to the clients' side, the backends, discovery and the timers.
 
-    Implements `interface.Host` for the module and `InvocationHandler` for the clients' side.
+    Implements `interface.Host` for the module and `InvocationHandler` for the client connections.
     """
 
-    RESPONSE_MARGIN_SECONDS = 0.01  # before the client's cut-off, for the response's way back
-    TIMER_RETRY_SECONDS = 1.0  # after an event failed: one interval of the module
-    # Of the time left. A larger allowance rejects work that would be in time once a brief stall is over.
+    RESPONSE_MARGIN_SECONDS = 0.01  # kept before the client's cut-off, for sending the response
+    TIMER_RETRY_SECONDS = 1.0  # delay after which a failed timer runs again; the module's own interval
+    # Longest allowance for the event loop's lag, as a fraction of the client's time budget; a longer one
+    # would reject invocations that are in time once a brief stall is over.
     MAX_LAG_SHARE = 0.25
 
-    MAX_UPLOAD_SECONDS = 900.0  # longer than any body that keeps its pace; the clients' side ends slower ones
+    # Longer than any body takes at the minimum rate; the client connection ends slower uploads.
+    MAX_UPLOAD_SECONDS = 900.0
     # A node that got no CPU has unread discovery data, which may be older than the drain grace: nothing is
     # pushed before it has been read. A heartbeat shows that the event loop reads; after a late heartbeat the
     # node first reads for CATCH_UP_SECONDS.
     HEARTBEAT_SECONDS, HEARTBEAT_LATE_SECONDS = 0.15, 0.1  # together well below any drain grace
-    CATCH_UP_SECONDS = 0.1  # the unread response, the pace of the watch, and one more request
-    DISCOVERY_WAIT_SECONDS = 3.0  # without a response until then, the restored list counts as known
+    CATCH_UP_SECONDS = 0.1  # for the unread response, the watch's minimum poll interval, and one more poll
+    # Without a response of discovery for this long after the start, the restored list counts as known.
+    DISCOVERY_WAIT_SECONDS = 3.0
 
     def __init__(self, clock: Clock, tasks: Tasks, log: Any, maintenance: Maintenance | None = None) -> None:
         self.clock, self.tasks, self.logger = clock, tasks, log
@@ -98,7 +101,7 @@
         decisions: dict[str, Any],
         limit_per_backend: float = 0.0,
     ) -> None:
-        """Creates the decision module with the list of the configuration file.
+        """Creates the decision module with `restored_list`, the configuration file's endpoint list.
 
         `list_is_pushed`: discovery sends changes unasked, so that the watch starts at once.
         `decisions`: keyword arguments of `decide.Node`. `limit_per_backend`: the concurrency limit that an
@@ -149,10 +152,12 @@
         if exchange.invocation.id in self.exchanges:
             return False
         self.exchanges[exchange.invocation.id] = exchange
-        left = self._time_left(
+        time_left = self._time_left(
             exchange.time_budget + self.MAX_UPLOAD_SECONDS * exchange.body_incoming, exchange.unread_seconds
         )
-        self._dispatch_for(exchange, self.node.on_invocation, exchange.invocation._replace(time_left=left))
+        self._dispatch_for(
+            exchange, self.node.on_invocation, exchange.invocation._replace(time_left=time_left)
+        )
         return True
 
     def shed_retry_after(self, offering: str, time_left: float, waited: float) -> float | None:
@@ -165,14 +170,17 @@
             self.logger.exception("a decision failed", event_name="turns_away")
             return None
 
-    def _time_left(self, given: float, waited: float) -> float:
-        """Seconds that the module may use of the `given` ones of the client.
+    def _time_left(self, time_budget: float, unread_seconds: float) -> float:
+        """Seconds that the module may use of the client's `time_budget`.
 
         Prevents responses past the cut-off when the CPU is short: the invocation has waited unread, and its
         response will wait for as long as the event loop lags.
         """
         return max(
-            given - self.RESPONSE_MARGIN_SECONDS - waited - min(self.lag.peak, self.MAX_LAG_SHARE * given),
+            time_budget
+            - self.RESPONSE_MARGIN_SECONDS
+            - unread_seconds
+            - min(self.lag.peak, self.MAX_LAG_SHARE * time_budget),
             0.0,
         )
 
@@ -181,17 +189,17 @@
         if exchange.finished:
             return
         exchange.body_incoming = False
-        left = self._time_left(exchange.time_budget, 0.0)
+        time_left = self._time_left(exchange.time_budget, 0.0)
         for scope in exchange.push_scopes:
-            scope.deadline = anyio.current_time() + left
-        self._dispatch_for(exchange, self.node.on_whole, exchange.invocation.id, left)
+            scope.deadline = anyio.current_time() + time_left
+        self._dispatch_for(exchange, self.node.on_whole, exchange.invocation.id, time_left)
 
     def body_stalled(self, exchange: Exchange) -> None:
         """The backend does not read the body; its push ends as one that never ran."""
         exchange.cancel_pushes()
 
     def client_disconnected(self, exchange: Exchange) -> None:
-        """Tells the module of it, unless the invocation already has its final outcome."""
+        """Tells the module that the client has left, unless the invocation has its final outcome already."""
         if exchange.finished:
             return
         exchange.client_gone = True
@@ -221,6 +229,7 @@
         )
 
     def probe_ended(self, backend: str, outcome: Outcome, report: LoadReport) -> None:
+        """Tells the module how a probe ended; `report` is `NO_REPORT` if it brought none."""
         self._dispatch(self.node.on_probe_ended, backend, outcome, report)
 
     def on_list_answer(self, answer: DiscoveryResponse | None) -> None:
@@ -257,22 +266,25 @@
 
     @property
     def _watch_stale_at(self) -> float:
-        """When a change that the watch may have missed binds: it counts as told and its grace is over."""
+        """Time from which the node must respect changes that the watch may have missed.
+
+        By then a change counts as announced and its drain grace is over.
+        """
         return self.clock() + self.watch.stale_at - anyio.current_time() + self.pushes.send_grace
 
     @property
     def list_stale_at(self) -> float:
-        """From when on the list is stale and nothing may be pushed; inf while it is up to date."""
+        """Time from which the list is stale and nothing may be pushed; inf while it is up to date."""
         return min(self._watch_stale_at, self.node.list_stale_at)
 
     @property
     def list_known(self) -> bool:
-        """Whether discovery has answered, or has had its time and a restored list is there."""
+        """Whether discovery has answered, or DISCOVERY_WAIT_SECONDS are over and there is a restored list."""
         wait_over = self.clock() - self.started_at > self.DISCOVERY_WAIT_SECONDS
         return self.discovery_answered or (wait_over and bool(self.maintenance.entries))
 
     def update_settings(self, decisions: dict[str, Any], processes: int = 1) -> None:
-        """Gives the module new settings; `processes` of this node divide its part of the limits evenly."""
+        """Gives the module new settings; the node's `processes` processes share its limits evenly."""
         self.probes = decisions["limits"].probes
         self._dispatch(
             partial(self.node.on_settings, **{**decisions, "nodes": decisions["nodes"] * processes})
@@ -281,8 +293,8 @@
     @property
     def ramp_starts(self) -> dict[str, float]:
         """Start time of the slow start of each backend that is still in it, by id."""
-        known = self.node.registry.backends.items()
-        return {id: backend.ramp_start for id, backend in known if backend.ramp_start is not None}
+        backends = self.node.registry.backends.items()
+        return {id: backend.ramp_start for id, backend in backends if backend.ramp_start is not None}
 
     @property
     def limit_per_backend(self) -> float:
@@ -291,7 +303,7 @@
         return admission.concurrency_limit / admission.backend_share if admission.backend_share > 0.0 else 0.0
 
     def apply_maintenance(self, marks: dict[str, MaintenanceMark]) -> None:
-        """Takes backends out of service or puts them back, whichever process the operator asked."""
+        """Takes backends out of service or puts them back, as marked in any process of this node."""
         changes = self.maintenance.update(marks)
         if changes is None:
             return
@@ -330,7 +342,7 @@
     def _dispatch_for(self, exchange: Exchange, event: Callable[..., None], *args: Any) -> None:
         """Delivers an event of one invocation; an exception cancels its pushes and terminates it.
 
-        Once no push is out the module has given the final outcome; if it failed to, the invocation is
+        Once no push is in flight the module has given the final outcome; if it failed to, the invocation is
         terminated here, so that no client is left waiting.
         """
         if not self._dispatch(event, *args):
@@ -342,7 +354,7 @@
             self.exchanges.pop(exchange.invocation.id, None)
 
     def _deliver(self, exchange: Exchange, answer: ClientResponse) -> None:
-        """Hands the final response to the client; an error there must not fail the push that brought it."""
+        """Hands over the final response; an error there must not fail the push that received it."""
         try:
             exchange.finish(answer)
         except Exception:
--- a/thornladder/settings.py
+++ b/thornladder/settings.py
@@ -20,12 +20,13 @@
     "single_shot": api.Idempotency.ONCE_ONLY,
 }
 
+# Keys of Blend that are weights of the utility's parts.
 BLEND_WEIGHTS = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "Availability", "Tail")
-# Report.Source values, and whether load reports come only in answers to probes, which then have to be sent.
+# Values of Report.Source, and whether load reports come only in answers to probes, which then must be sent.
 REPORT_SOURCES = {"pull": True, "piggyback": False, "silent": False}
 MAX_PROBE_COST_SHARE = 0.008  # of the utility: upper bound on the cost of load-report probes, if priced
 MAX_REPORTED_VALUE = 1e6  # a larger value in a load report cannot come from a single backend
-# Applies however cheap probes are: choosing among more than three backends gains little.
+# Upper bound however cheap probes are: choosing among more than three backends gains little.
 MAX_PROBES_PER_INVOCATION = 3.0
 
 Address = tuple[str, int]
@@ -96,7 +97,7 @@
     )
 
 
-# Beyond these a retry budget limits nothing.
+# Upper bounds of the settings of a retry budget, beyond which it would limit nothing.
 MAX_EXTRA_FLOOR, MAX_REPEAT_RATIO, MAX_BUDGET_SPAN_SECONDS = 1e6, 100.0, 3600.0
 
 
@@ -165,7 +166,7 @@
 
 
 def discovery_pushes_changes(info: dict[str, Any]) -> bool:
-    """Whether the policy gets changes of the endpoint list pushed, rather than having to ask for them."""
+    """Whether discovery pushes changes of the endpoint list, rather than nodes having to ask for them."""
     return info.get("Discovery") != "on_request"
 
 
@@ -178,8 +179,8 @@
 def first_missing_key(current: Any, new: Any, path: str = "") -> str | None:
     """The dotted path of the first key of the current configuration that the new one lacks, or None.
 
-    Boolean keys may be omitted, which means false. Guards against a truncated or wrongly assembled file,
-    whose missing keys would silently get their defaults. Items of a list are matched by their `Name`.
+    Guards against a truncated or wrongly assembled file, whose missing keys would silently get defaults.
+    Boolean keys may be omitted, which means false. Items of a list are matched by their `Name`.
     """
     if isinstance(current, dict) and isinstance(new, dict):
         for name, value in current.items():
@@ -240,7 +241,7 @@
     discovery: Address
     seed: int
     cores: float
-    sockets: int
+    sockets: int  # most file descriptors that the node may use
     memory: int  # bytes
     known: dict[str, Any]  # initial endpoint list, in the format of discovery's answers
     decisions: dict[str, Any]  # see `policy_arguments`
