--- a/thornladder/decide.py
+++ b/thornladder/decide.py
@@ -711,7 +711,7 @@
 
 
 class AdmissionControl:
-    """Decides which invocations to reject when answers would be late, those of the least utility first.
+    """Decides which invocations to reject when answers would be late, those of the lowest utility first.
 
     An adaptive concurrency limit: it grows while pushes end in time and shrinks while many are late.
     """
