--- a/thornladder/node/handover.py
+++ b/thornladder/node/handover.py
@@ -24,13 +24,13 @@
 
 
 def _file_stem(node: str) -> str:
-    """A file name that differs for every node name, whatever characters that holds."""
+    """A file name without suffix that is unique to the node, whose name may hold any characters."""
     plain = re.sub(r"[^A-Za-z0-9_-]", "_", node)[:64]
     return f"thornladder-{plain}-{zlib.crc32(node.encode()):08x}"
 
 
 class Deployment(NamedTuple):
-    """Identifies a deployment by settings that survive their ordinary changes."""
+    """Identifies a deployment by its zone and offerings, which ordinary changes of the settings keep."""
 
     zone: str = ""
     offering_names: frozenset[str] = frozenset()
@@ -41,19 +41,20 @@
         return cls(decisions["zone"], frozenset(offering.name for offering in decisions["offerings"]))
 
     def accepts(self, written_under: Any) -> bool:
-        """Whether a file with this `under` value is this deployment's.
+        """Whether a file with this `under` value belongs to this deployment.
 
-        One common offering is enough: an upgrade may add some and drop others.
+        One common offering is enough, since an upgrade may add some and drop others. A file without the value
+        is accepted: an older version wrote it.
         """
         if written_under is None or not self.offering_names:
-            return True  # an older version wrote no `under`
+            return True
         classes = written_under.get("classes") if isinstance(written_under, dict) else None
         if not isinstance(classes, list) or written_under.get("zone") != self.zone:
             return False
         return any(name in self.offering_names for name in classes if isinstance(name, str))
 
 
-ANY_DEPLOYMENT = Deployment()  # for files that depend on no settings
+ANY_DEPLOYMENT = Deployment()  # accepts every file; for files that do not depend on settings
 
 
 class StateFile:
@@ -114,14 +115,14 @@
 
 
 class ProcessStatus(NamedTuple):
-    """What another process of this node announces."""
+    """What a process announces to the other processes of its node."""
 
     phase: Phase
-    descriptors: int  # in use
+    descriptors: int  # file descriptors in use
 
 
 class ProcessRegistry:
-    """The live processes of a node: each holds a lock on a file, which the kernel frees at its death."""
+    """The live processes of a node: each holds a lock on a file, which the kernel releases when it exits."""
 
     MAX_PROCESSES = 8  # two are usual, three while one upgrade follows another
 
@@ -129,20 +130,24 @@
         self.paths = [
             Path(folder) / f"{_file_stem(node)}.process-{slot}" for slot in range(self.MAX_PROCESSES)
         ]
-        self.own_slot: tuple[int, int] | None = None  # number of this process's slot, and its descriptor
+        self.own_slot: tuple[int, int] | None = None  # slot of this process and the descriptor of its file
 
     def announce(self, phase: Phase, descriptors: int) -> None:
-        """Publishes the state of this process; the first call claims a free slot."""
+        """Publishes the state of this process; the first call claims a free slot.
+
+        `descriptors`: how many file descriptors this process uses.
+        """
         if self.own_slot is None:
             self.own_slot = next(filter(None, map(self._lock, range(self.MAX_PROCESSES))), None)
         if self.own_slot is not None:
             os.pwrite(self.own_slot[1], b"%-16s%-8d" % (phase.value.encode(), descriptors), 0)
 
     def _lock(self, slot: int) -> tuple[int, int] | None:
+        """Locks the file of a slot; None if another process holds it or the folder is not writable."""
         try:
             descriptor = os.open(self.paths[slot], os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError:
-            return None  # the folder is not writable: this process counts as the only one
+            return None  # without any slot, this process counts as the only one
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -155,7 +160,7 @@
         return [status for slot in range(self.MAX_PROCESSES) if (status := self._read_slot(slot)) is not None]
 
     def _read_slot(self, slot: int) -> ProcessStatus | None:
-        """The state of the process that holds this slot; None if that is this one or none."""
+        """The state of the other process that holds this slot; None if no other process does."""
         if self.own_slot is not None and slot == self.own_slot[0]:
             return None
         try:
@@ -178,24 +183,24 @@
 class LearnedState(NamedTuple):
     """What a process passes on to the one that takes over from it."""
 
-    ramp_starts: dict[str, float]  # start time of each backend that is still in slow start, by id
-    limit_per_backend: float = 0.0  # concurrency limit; 0 if unknown
+    ramp_starts: dict[str, float]  # Unix time at which each backend in slow start began it, by backend id
+    limit_per_backend: float = 0.0  # concurrency limit per backend, in pushes; 0 if unknown
 
 
 class LearnedStateStore:
     """Stores the learned state on disk.
 
-    Start times stay valid, since all machines share one clock; the concurrency limit does so only briefly.
+    Start times stay valid, as the clocks of all machines agree; the concurrency limit is valid only briefly.
     """
 
-    MAX_AGE_SECONDS = 10.0  # of the concurrency limit: about as long as a load lasts
+    MAX_AGE_SECONDS = 10.0  # of the concurrency limit: about as long as the load stays the same
 
     def __init__(self, folder: str, node: str, deployment: Deployment = ANY_DEPLOYMENT) -> None:
         self.file = StateFile(folder, node, "learned", deployment)
         self.saved, self.saved_at = LearnedState({}), -self.MAX_AGE_SECONDS
 
     def load(self, now: float) -> LearnedState:
-        """Reads what is there; `now`: Unix time in seconds."""
+        """The stored state, without what is missing or out of date; `now`: Unix time in seconds."""
         starts: dict[str, float] = {}
         content, limit = self.file.read() or {}, 0.0
         with suppress(MalformedError):
@@ -206,7 +211,7 @@
         return LearnedState(starts, limit)
 
     def save(self, learned: LearnedState, now: float) -> None:
-        """Writes if start times changed or the last write is a second old; raises OSError."""
+        """Writes if start times changed or the last write is more than a second old; raises OSError."""
         if learned.ramp_starts != self.saved.ramp_starts or now - self.saved_at > 1.0:
             lines = [{"id": id, "at": at} for id, at in sorted(learned.ramp_starts.items())]
             self.file.write({"starts": lines, "room": round(learned.limit_per_backend, 3), "at": now})
@@ -214,9 +219,9 @@
 
 
 class MaintenanceStore:
-    """Stores the last maintenance call for each id on disk.
+    """Stores the last maintenance call for each backend id on disk.
 
-    Several processes may write to it; the later call wins.
+    Several processes may write to the file; the later call wins.
     """
 
     def __init__(self, folder: str, node: str, deployment: Deployment = ANY_DEPLOYMENT) -> None:
@@ -237,11 +242,11 @@
         return marks
 
     def load_if_changed(self) -> dict[str, MaintenanceMark]:
-        """The stored marks if the file has changed since it was last read, else none."""
+        """The stored marks if the file has changed since this object last read it; empty otherwise."""
         return self.load() if self.file.fingerprint() != self.loaded_fingerprint else {}
 
     def merge(self, marks: dict[str, MaintenanceMark]) -> None:
-        """Adds the marks that are later than the stored ones; raises OSError."""
+        """Stores the marks that are later than the stored ones for their ids; raises OSError."""
         with self._locked():
             stored = self.load()
             for id, mark in marks.items():
@@ -258,9 +263,12 @@
 
     @contextmanager
     def _locked(self) -> Iterator[None]:
+        """Holds the lock that serializes the writers; raises OSError."""
         descriptor = os.open(self.lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(descriptor, fcntl.LOCK_EX)  # held for one small write only
+            fcntl.flock(
+                descriptor, fcntl.LOCK_EX
+            )  # waits for other writers, each of which writes one small file
             yield
         finally:
             os.close(descriptor)
--- a/thornladder/rollout/judge.py
+++ b/thornladder/rollout/judge.py
@@ -6,9 +6,9 @@
 
 A metric that is a share of events, such as bad invocations among all, counts events and the hits among them.
 A comparison window holds both sides' counts since the metric's last comparison. Given the total number of
-hits in a window, the number of hits at new nodes follows Fisher's noncentral hypergeometric distribution, which
-depends on the odds ratio alone. So an incident that affects both sides alike does not affect the test, however
-severe it is.
+hits in a window, the number of hits at new nodes follows Fisher's noncentral hypergeometric distribution,
+which depends on the odds ratio alone. So an incident that affects both sides alike does not affect the test,
+however severe it is.
 
 If no metric regressed, the probability that the weighted mean of the tests' e-values ever reaches 1/p is at
 most p, however often it is checked and whenever checking stops.
