--- a/thornladder/node/handover.py
+++ b/thornladder/node/handover.py
@@ -190,7 +190,7 @@
 class LearnedStateStore:
     """Stores the learned state on disk.
 
-    Start times stay valid, as the clocks of all machines agree; the concurrency limit is valid only briefly.
+    Start times are Unix times and stay valid for any process; the concurrency limit is valid only briefly.
     """
 
     MAX_AGE_SECONDS = 10.0  # of the concurrency limit: about as long as the load stays the same
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -38,13 +38,17 @@
 from thornladder.node.tasks import Tasks
 from thornladder.settings import Config
 
-EXTENSION_STOP_SECONDS = 0.2  # for an extension to tell other nodes; well within the time to shut down
-SWEEP_SECONDS = 0.15  # between sweeps: a client that may trickle a request for 2.6 s is closed within 3 s
-RESERVED_DESCRIPTORS = 24  # a dozen are neither client nor backend connections, and as many are spare
-# Streamed bodies get one part in this many of the memory, at a fixed cost each (`flow.BODY_PIPE_BYTES`).
+# For an extension to tell other nodes that this process exits; well within the time allowed for a shutdown.
+EXTENSION_STOP_SECONDS = 0.2
+# Between sweeps of the connections. A client may take 2.6 s to send a request and must be closed within 3 s.
+SWEEP_SECONDS = 0.15
+RESERVED_DESCRIPTORS = 24  # a dozen for other things than client and backend connections, and a dozen spare
+# Streamed bodies may use the memory limit divided by this. Each body counts as `flow.BODY_PIPE_BYTES`.
 BODY_MEMORY_DIVISOR = 4
-CLIENT_POOL_SHARE = 1.0 / 3.0  # of all descriptors: most connections on which clients send invocations
-CLIENT_SHARE = 0.6  # of the rest: an invocation holds one, and seldom more than one to a backend
+CLIENT_POOL_SHARE = 1.0 / 3.0  # of all descriptors: maximum connections on which clients send invocations
+# Client connections' share of the descriptors that are not reserved. An invocation holds one client
+# connection and seldom more than one backend connection.
+CLIENT_SHARE = 0.6
 
 
 async def run(
@@ -57,7 +61,7 @@
     """Runs a node until it has drained after SIGTERM or SIGINT.
 
     `restored_list`: the endpoint list of the configuration file, used until discovery answers. `path`: the
-    configuration file, read again on SIGHUP. Raises OSError if an address is not available.
+    configuration file, read again on SIGHUP. Raises OSError if it cannot listen on a configured address.
     """
     clock = Clock()
     if config.inherited is None:
@@ -147,7 +151,7 @@
 async def _start_accepting(
     front: Front, host: NodeHost, handover: Handover, tasks: Tasks, listener: socket.socket
 ) -> None:
-    """Accepts clients; beside another process of the node only once this one knows the endpoint list."""
+    """Starts to accept clients; waits for the endpoint list first if another process of the node runs."""
     while handover.other_processes and not host.list_known:
         await anyio.sleep(0.02)
     if front.server_state.draining:
@@ -160,11 +164,13 @@
 class Handover:
     """Coordinates this process with others of its node, as during an upgrade without downtime.
 
-    While several run, they divide the node's limits. Learned state and maintenance state pass from one to
-    the next through files.
+    While several run, they divide the node's limits. They share learned state and maintenance state through
+    files.
     """
 
-    SYNC_SECONDS = 0.2  # between reads of the other processes' state: a fifth of what an admin call may take
+    # Between reads of the other processes' state. Maintenance calls that another process received take effect
+    # here with this delay, a fifth of the time that an admin call may take.
+    SYNC_SECONDS = 0.2
 
     def __init__(self, config: Config, log: Any) -> None:
         self.decisions, self.log = config.decisions, log
@@ -178,12 +184,11 @@
         self.phase = Phase.STARTING
         self.other_processes: list[ProcessStatus] = []
         self.descriptors_used = 0
-        # Of the whole node: client connections, backend connections, bytes for streamed bodies.
+        # Limits of the whole node: client connections, backend connections, bytes for streamed bodies.
         self.node_limits: tuple[int, int, int] | None = None
-        self.node_count: int | None = None  # reported by an extension; None: the settings hold
-        self.active_count = (
-            1  # processes of the node that accept clients or still have some, this one included
-        )
+        self.node_count: int | None = None  # reported by an extension; None: as in the settings
+        # Processes of the node that serve or drain, this one included even while it starts.
+        self.active_count = 1
 
     def join(self, now: float) -> Maintenance:
         """Registers this process and returns the stored maintenance state; `now`: Unix time in seconds."""
@@ -198,7 +203,7 @@
 
     async def run(self, host: NodeHost, front: Front, pool: Pool, body_budget: BodyBudget) -> None:
         """Synchronizes with the other processes and divides the limits, for as long as the node runs."""
-        # The limits as of the start: after an error this task begins anew, when they may have been divided.
+        # Recorded once: this task restarts after an error, and the current limits may be divided by then.
         self.node_limits = self.node_limits or (
             front.max_connections,
             pool.max_connections,
@@ -208,9 +213,9 @@
         while True:
             self.descriptors_used = front.connection_count + pool.open_connections
             self.sync(host)
-            # The processes of a node share its descriptors and memory. Only free descriptors are divided:
-            # with half of all of them, the serving process would close connections and leave others unread,
-            # while the other one uses next to none.
+            # The processes of a node share its descriptors and memory. Only free descriptors are divided: if
+            # all were, the serving process would have to close connections and leave others unread, while a
+            # starting one uses next to none.
             process_count = 1 + len(self.other_processes)
             used_by_others = sum(other.descriptors + RESERVED_DESCRIPTORS for other in self.other_processes)
             free = (
@@ -226,16 +231,17 @@
             await anyio.sleep(self.SYNC_SECONDS)
 
     def announce_leaving(self, front: Front) -> None:
-        """Marks this process as leaving; the node stays ready if another process of it serves."""
+        """Marks this process as leaving, and records whether another process of the node serves on."""
         self.phase = Phase.LEAVING
         front.server_state.has_successor = front.listener_is_shared and any(
             other.phase is Phase.SERVING for other in self.registry.others()
         )
 
     def update_settings(self, decisions: dict[str, Any], host: NodeHost) -> None:
-        """Applies new decision settings; files are written under their deployment from now on."""
+        """Applies new decision settings."""
         self.decisions = decisions
-        # Files that were written under the old settings are this node's own and stay in use.
+        # From now on files are written under the new deployment. The state that was read under the old one is
+        # this node's own and stays in use.
         self.maintenance_store.file.deployment = self.learned_store.file.deployment = Deployment.of(decisions)
         self._apply_settings(host)
 
@@ -250,7 +256,7 @@
         host.update_settings({**self.decisions, **overrides}, self.active_count)
 
     def sync(self, host: NodeHost) -> None:
-        """Announces this process, reads the state of the others and applies what changed."""
+        """Announces this process and applies changes of the others' state and of the maintenance marks."""
         self.registry.announce(self.phase, self.descriptors_used)
         other_processes = self.registry.others()
         phases = [other.phase for other in other_processes]
@@ -263,7 +269,7 @@
             self._apply_settings(host)
         host.apply_maintenance(self.maintenance_store.load_if_changed())
         if self.phase is Phase.SERVING:
-            # A limit learned beside another process says little: the two share a CPU core and lag.
+            # A limit learned beside another process is not saved: the two share a CPU core, so both lag.
             limit = host.limit_per_backend if not other_processes else self.learned.limit_per_backend
             self.learned = LearnedState(host.ramp_starts, limit)
             try:
@@ -273,6 +279,7 @@
 
 
 async def _sweep(front: Front, pushes: PushDispatcher) -> None:
+    """Enforces connection timeouts and forgets departed backends periodically until it is cancelled."""
     while True:
         await anyio.sleep(SWEEP_SECONDS)
         front.sweep()
@@ -291,9 +298,9 @@
 
 
 class ConfigReloader:
-    """Reads the configuration file again and applies the settings and the address of discovery.
+    """Reads the configuration file again and applies its `settings` object and the address of discovery.
 
-    Everything else needs a restart. A malformed file is logged and changes nothing.
+    Changes of anything else need a restart. If the file is malformed, logs that and changes nothing.
     """
 
     def __init__(self, path: str, config: Config, targets: ReloadTargets, log: Any) -> None:
@@ -310,7 +317,7 @@
         if config.raw["settings"] != self.config.raw["settings"]:
             self._apply_settings(config)
         self.targets.watch.move(config.discovery)
-        # The list, the seed and the name are used at the start alone, so that changes of them do not matter.
+        # The endpoint list, the seed and the name are used only at the start: changes are not reported.
         compared = replace(config, known=self.config.known, seed=self.config.seed, name=self.config.name)
         reloaded = {"discovery", "raw", "decisions", "transport", "admin", "inherited", "folder"}
         names = {field.name for field in fields(Config)} - reloaded
