--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -109,5 +109,5 @@
     assert [seed for seed in range(60) if explore.random_walk(seed)] == []
     assert explore.explore(10, 800).breach == ""
     seeds = {"RaisesEarly": 2, "SpendsAfterPause": 56, "OldGrants": 834}
-    for planted in explore.PLANTED_FAULTS:
-        assert explore.random_walk(seeds.get(planted.__name__, 0), make=planted), planted.__name__
+    for faulty_core in explore.PLANTED_FAULTS:
+        assert explore.random_walk(seeds.get(faulty_core.__name__, 0), make=faulty_core), faulty_core.__name__
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -47,7 +47,7 @@
     def __init__(self, folder: Path, *answers) -> None:
         self.folder = folder
         self.backends = [FakeServer(answer) for answer in answers]
-        self.discovery = FakeServer(lambda got: list_reply(1) if got.target.endswith("=0") else None)
+        self.discovery = FakeServer(lambda request: list_reply(1) if request.target.endswith("=0") else None)
         self.stack = AsyncExitStack()
         self.ports: list[int] = []
 
@@ -65,8 +65,8 @@
 
     async def run(self) -> tuple[anyio.abc.Process, int]:
         """Starts one more process of the node and returns it with its admin port."""
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            admin = free.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as free_socket:
+            admin = free_socket.getsockname()[1]
         lines = [list_line(number, peer.port) for number, peer in enumerate(self.backends)]
         file = config(lines, self.discovery.port)
         path = self.folder / "config.json"
@@ -106,8 +106,8 @@
         return Client(await anyio.connect_tcp("127.0.0.1", self.port))
 
 
-def done(got: ReceivedMessage) -> bytes:
-    return reply(200, got.headers.get("x-call-id", "").encode())
+def done(request: ReceivedMessage) -> bytes:
+    return reply(200, request.headers.get("x-call-id", "").encode())
 
 
 async def test_three_consecutive_upgrades_under_load_lose_no_invocation(tmp_path: Path) -> None:
@@ -147,16 +147,16 @@
 
 async def test_maintenance_persists_over_an_upgrade_and_is_shared_by_both_processes(tmp_path: Path) -> None:
     async with NodeProcesses(tmp_path, done, done, done) as processes:
-        old, first = await processes.run()
-        await processes.wait_ready(first)
-        assert (await call(first, "POST", "/maintenance/enter", b'{"host": "s0"}'))[0] == 200
-        new, second = await processes.run()
-        await processes.wait_ready(second)
-        assert (await call(second, "GET", "/status"))[1]["maintenance"] == ["s0"]
-        assert (await call(second, "POST", "/maintenance/enter", b'{"host": "s1"}'))[0] == 200
-        assert (await call(first, "POST", "/maintenance/exit", b'{"host": "s0"}'))[0] == 200
+        old, first_admin = await processes.run()
+        await processes.wait_ready(first_admin)
+        assert (await call(first_admin, "POST", "/maintenance/enter", b'{"host": "s0"}'))[0] == 200
+        new, second_admin = await processes.run()
+        await processes.wait_ready(second_admin)
+        assert (await call(second_admin, "GET", "/status"))[1]["maintenance"] == ["s0"]
+        assert (await call(second_admin, "POST", "/maintenance/enter", b'{"host": "s1"}'))[0] == 200
+        assert (await call(first_admin, "POST", "/maintenance/exit", b'{"host": "s0"}'))[0] == 200
         with anyio.fail_after(1.0):
-            for admin in (first, second):
+            for admin in (first_admin, second_admin):
                 while (await call(admin, "GET", "/status"))[1]["maintenance"] != ["s1"]:
                     await anyio.sleep(0.02)
         old.kill()
@@ -170,24 +170,24 @@
 async def test_node_stays_ready_while_one_process_leaves_and_another_serves(tmp_path: Path) -> None:
     # Guards against a front that turns from the node because the leaving process reports it as not ready.
     async with NodeProcesses(tmp_path, done) as processes:
-        old, first = await processes.run()
-        await processes.wait_ready(first)
+        old, first_admin = await processes.run()
+        await processes.wait_ready(first_admin)
         old_clients = [await processes.client() for _ in range(2)]
         for client in old_clients:
             assert (await client.raw(READY_REQUEST)).target == "200"
-        new, second = await processes.run()
-        await processes.wait_ready(second)
+        new, second_admin = await processes.run()
+        await processes.wait_ready(second_admin)
         old.send_signal(signal.SIGTERM)
         await anyio.sleep(0.1)
         response = await old_clients[0].raw(READY_REQUEST)
         assert (response.target, response.headers["connection"]) == ("200", "close")
-        last = await processes.client()
-        assert (await last.raw(READY_REQUEST)).target == "200"
+        last_client = await processes.client()
+        assert (await last_client.raw(READY_REQUEST)).target == "200"
         with anyio.fail_after(2.2):
             assert await old.wait() == 0
         new.send_signal(signal.SIGTERM)  # no other process takes over
         await anyio.sleep(0.1)
-        assert (await last.raw(READY_REQUEST)).target == "503"
+        assert (await last_client.raw(READY_REQUEST)).target == "503"
 
 
 async def test_starting_process_takes_no_descriptors_from_the_serving_one(
@@ -196,8 +196,8 @@
     # Guards against dividing all descriptors evenly: the serving process would close connections and leave
     # others unread.
     async with NodeProcesses(tmp_path, done) as processes:
-        _, first = await processes.run()
-        await processes.wait_ready(first)
+        _, first_admin = await processes.run()
+        await processes.wait_ready(first_admin)
         clients = [await processes.client() for _ in range(270)]  # of 564 for clients
         processes.discovery.answer = lambda _: None
         new, _ = await processes.run()
@@ -210,37 +210,37 @@
 
 async def test_new_process_that_dies_before_it_is_ready_changes_nothing(tmp_path: Path) -> None:
     async with NodeProcesses(tmp_path, done) as processes:
-        old, first = await processes.run()
-        await processes.wait_ready(first)
+        old, first_admin = await processes.run()
+        await processes.wait_ready(first_admin)
         processes.discovery.answer = lambda _: None  # the new process waits for the list
-        new, second = await processes.run()
+        new, second_admin = await processes.run()
         with anyio.fail_after(3.0):
             while True:
                 try:
-                    assert (await call(second, "GET", "/status"))[0] == 503
+                    assert (await call(second_admin, "GET", "/status"))[0] == 503
                     break
                 except OSError:
                     await anyio.sleep(0.02)
         for number in range(20):  # all reach the serving process
             assert (await (await processes.client()).ask(f"a{number}", "look")).target == "200"
-        assert (await call(second, "GET", "/status"))[1]["connections"] == 0
+        assert (await call(second_admin, "GET", "/status"))[1]["connections"] == 0
         new.kill()
         assert (await (await processes.client()).ask("b", "look")).target == "200"
 
 
 async def test_old_process_serves_on_after_the_new_one_is_killed_when_ready(tmp_path: Path) -> None:
     async with NodeProcesses(tmp_path, done) as processes:
-        old, first = await processes.run()
-        await processes.wait_ready(first)
-        new, second = await processes.run()
-        await processes.wait_ready(second)
+        old, first_admin = await processes.run()
+        await processes.wait_ready(first_admin)
+        new, second_admin = await processes.run()
+        await processes.wait_ready(second_admin)
         new.kill()
         await new.wait()
         for number in range(20):
             client = await processes.client()
             assert (await client.raw(READY_REQUEST)).target == "200"
             assert (await client.ask(f"a{number}", "pay", body=b"x")).target == "200"
-        assert (await call(first, "GET", "/status"))[0] == 200
+        assert (await call(first_admin, "GET", "/status"))[0] == 200
         old.send_signal(signal.SIGTERM)
         with anyio.fail_after(2.2):
             assert await old.wait() == 0
--- a/thornladder/node/handover.py
+++ b/thornladder/node/handover.py
@@ -204,8 +204,8 @@
         starts: dict[str, float] = {}
         content, limit = self.file.read() or {}, 0.0
         with suppress(MalformedError):
-            for line in get_objects(content, "starts"):
-                starts[get_field(line, "id", str)] = get_field(line, "at", float)
+            for item in get_objects(content, "starts"):
+                starts[get_field(item, "id", str)] = get_field(item, "at", float)
             if 0.0 <= now - get_field(content, "at", float, 0.0) < self.MAX_AGE_SECONDS:
                 limit = max(get_field(content, "room", float, 0.0), 0.0)
         return LearnedState(starts, limit)
@@ -213,8 +213,8 @@
     def save(self, learned: LearnedState, now: float) -> None:
         """Writes if start times changed or the last write is more than a second old; raises OSError."""
         if learned.ramp_starts != self.saved.ramp_starts or now - self.saved_at > 1.0:
-            lines = [{"id": id, "at": at} for id, at in sorted(learned.ramp_starts.items())]
-            self.file.write({"starts": lines, "room": round(learned.limit_per_backend, 3), "at": now})
+            items = [{"id": id, "at": at} for id, at in sorted(learned.ramp_starts.items())]
+            self.file.write({"starts": items, "room": round(learned.limit_per_backend, 3), "at": now})
             self.saved, self.saved_at = learned, now
 
 
@@ -235,9 +235,9 @@
         content = self.file.read()
         marks: dict[str, MaintenanceMark] = {}
         with suppress(MalformedError):
-            for line in get_objects(content or {}, "marks"):
-                marks[get_field(line, "id", str)] = MaintenanceMark(
-                    get_field(line, "out", bool), get_field(line, "at", float)
+            for item in get_objects(content or {}, "marks"):
+                marks[get_field(item, "id", str)] = MaintenanceMark(
+                    get_field(item, "out", bool), get_field(item, "at", float)
                 )
         return marks
 
--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -65,24 +65,26 @@
     """
     clock = Clock()
     if config.inherited is None:
-        listener = _listener(config.listen)
+        listener = _create_listener(config.listen)
     else:
         listener = socket.socket(fileno=config.inherited)
         listener.setblocking(False)
-    admin_listener = _listener(config.admin) if config.admin else None
+    admin_listener = _create_listener(config.admin) if config.admin else None
     reserved = (
         RESERVED_DESCRIPTORS
         + (AdminServer.MAX_DESCRIPTORS if admin_listener else 0)
         + sum(extension.descriptors for extension in extensions)
     )
-    sockets = max(config.sockets - reserved, 8)
-    max_clients = round(CLIENT_SHARE * sockets)
+    max_connections = max(config.sockets - reserved, 8)
+    max_clients = round(CLIENT_SHARE * max_connections)
     async with anyio.create_task_group() as group:
         tasks = Tasks(group, log)
         handover = Handover(config, log)
         host = NodeHost(clock, tasks, log, handover.join(clock()))
         transport = config.transport
-        pool = Pool(sockets - max_clients, transport.backend_idle_timeout, transport.connect_timeout, clock)
+        pool = Pool(
+            max_connections - max_clients, transport.backend_idle_timeout, transport.connect_timeout, clock
+        )
         body_budget = BodyBudget(max(config.memory // BODY_MEMORY_DIVISOR, 2**20))
         reports = config.decisions["limits"].probes_per_invocation > 0.0
         pushes = PushDispatcher(
@@ -142,7 +144,7 @@
         )  # fmt: skip
 
 
-def _listener(address: settings.Address) -> socket.socket:
+def _create_listener(address: settings.Address) -> socket.socket:
     listener = socket.create_server(address, backlog=Front.BACKLOG)
     listener.setblocking(False)
     return listener
--- a/thornladder/rollout/judge.py
+++ b/thornladder/rollout/judge.py
@@ -254,8 +254,8 @@
         """`false_stop_probability` bounds the chance that a sound change is ever found to regress."""
         self.tolerances, self.false_stop_probability = tolerances, false_stop_probability
         self.last_seen: dict[str, LastSeen] = {}
-        self.node_baselines: dict[tuple[str, str, str], list[float]] = {}  # count, hits; see `_counts`
-        self.fleet_baselines: dict[tuple[str, str], list[float]] = {}  # the same over all nodes
+        self.node_baselines: dict[tuple[str, str, str], list[float]] = {}  # by node and metric: count, hits
+        self.fleet_baselines: dict[tuple[str, str], list[float]] = {}  # by metric: count, hits
         self.baseline_latencies: dict[str, dict[int, int]] = {}  # by offering
         self.slow_limits: dict[str, int] = {}  # microseconds, by offering
         self.tests: dict[str, BoundedMeanTest | OddsRatioTest] = {}
@@ -275,16 +275,16 @@
 
     def add_baseline(self, counters: Mapping[str, Mapping[str, Any]]) -> None:
         """Adds the nodes' counters to their baselines; called while no node has changed yet."""
-        for name, step, _ in self._steps(counters):
+        for name, increase, _ in self._counter_increases(counters):
             core = self.baseline_core.setdefault(name, [0.0, 0.0])
-            core[0] += step.core_seconds
-            core[1] += sum(row[INVOCATIONS] for row in step.offerings.values())
-            for kind, subject, count, hits in self._counts(step, slow=False):
+            core[0] += increase.core_seconds
+            core[1] += sum(row[INVOCATIONS] for row in increase.offerings.values())
+            for kind, subject, count, hits in self._counts(increase, slow=False):
                 for baseline in (self.node_baselines.setdefault((name, kind, subject), [0.0, 0.0]),
                                  self.fleet_baselines.setdefault((kind, subject), [0.0, 0.0])):  # fmt: skip
                     baseline[0] += count
                     baseline[1] += hits
-            self._add_baseline_latencies(step)
+            self._add_baseline_latencies(increase)
 
     def start_without_baseline(self, counters: Mapping[str, Mapping[str, Any]]) -> None:
         """Starts the comparison after a restart of the driver, which lost the baselines.
@@ -300,8 +300,8 @@
                     self.fleet_baselines.setdefault((kind, offering), [0.0, 0.0])
         self.start_comparison()
 
-    def _add_baseline_latencies(self, step: CounterTotals) -> None:
-        for offering, latencies in step.latencies.items():
+    def _add_baseline_latencies(self, totals: CounterTotals) -> None:
+        for offering, latencies in totals.latencies.items():
             total = self.baseline_latencies.setdefault(offering, {})
             for bound, count in latencies.items():
                 total[bound] = total.get(bound, 0) + count
@@ -356,27 +356,27 @@
             for _ in range(max(count - self.crash_counts.get(name, count), 0)):
                 self.crash_test.observe(int(name in crash_suspects))
             self.crash_counts[name] = count
-        for name, step, seconds in self._steps(counters):
+        for name, increase, seconds in self._counter_increases(counters):
             side = int(name in new_nodes)
-            invocations = sum(row[INVOCATIONS] for row in step.offerings.values())
+            invocations = sum(row[INVOCATIONS] for row in increase.offerings.values())
             self.crash_test.seconds[side] += seconds
             self.stage_invocations[side] += invocations
-            for offering, row in step.offerings.items() if side else ():
+            for offering, row in increase.offerings.items() if side else ():
                 self.stage_invocations_by_offering[offering] = (
                     self.stage_invocations_by_offering.get(offering, 0) + row[INVOCATIONS]
                 )
-            for kind, subject, count, hits in self._counts(step):
+            for kind, subject, count, hits in self._counts(increase):
                 key = f"{kind} {subject}"
                 if key in self.tests and count:
                     self.windows.setdefault(key, ComparisonWindow()).add(
                         side, count, hits, self._baseline_share(name, kind, subject)
                     )
             resources = self.resources[side]
-            resources.core_seconds += step.core_seconds
+            resources.core_seconds += increase.core_seconds
             resources.invocations += invocations
             resources.expected_core_seconds += invocations * self._baseline_core_seconds(name)
             if self.last_seen[name].process_seconds > MEMORY_WARM_UP_SECONDS:
-                resources.memory_growth_bytes += step.memory_bytes
+                resources.memory_growth_bytes += increase.memory_bytes
                 resources.node_seconds += seconds
         for key, window in list(self.windows.items()):
             if min(window.counts) > 0:
@@ -414,12 +414,14 @@
         equal_share = (1.0 - sum(METRIC_WEIGHTS.values())) / max(len(others), 1)
         return {**METRIC_WEIGHTS, **dict.fromkeys(others, equal_share)}
 
-    def _steps(self, counters: Mapping[str, Mapping[str, Any]]) -> list[tuple[str, CounterTotals, float]]:
+    def _counter_increases(
+        self, counters: Mapping[str, Mapping[str, Any]]
+    ) -> list[tuple[str, CounterTotals, float]]:
         """Node, increase of its counters and seconds since the last call.
 
         Leaves out processes that are seen for the first time.
         """
-        steps = []
+        increases = []
         for name in sorted(counters):
             current = LastSeen(
                 counters[name]["process"], counter_totals(counters[name]), counters[name]["seconds"]
@@ -428,21 +430,21 @@
             if previous is None or previous.process != current.process:
                 self.last_seen[name] = current
             elif current.process_seconds > previous.process_seconds:
-                steps.append((name, difference(current.totals, previous.totals),
-                              current.process_seconds - previous.process_seconds))  # fmt: skip
+                increases.append((name, difference(current.totals, previous.totals),
+                                  current.process_seconds - previous.process_seconds))  # fmt: skip
                 self.last_seen[name] = current
-        return steps
+        return increases
 
-    def _counts(self, step: CounterTotals, slow: bool = True) -> list[tuple[str, str, float, float]]:
-        """For each share metric: its kind, its offering or tenant, the number of events and of hits."""
+    def _counts(self, increase: CounterTotals, slow: bool = True) -> list[tuple[str, str, float, float]]:
+        """For each share metric: its kind, its offering or `tenant NAME`, the number of events and of hits."""
         counts: list[tuple[str, str, float, float]] = []
-        for offering, row in list(step.offerings.items())[:MAX_OFFERINGS]:
+        for offering, row in list(increase.offerings.items())[:MAX_OFFERINGS]:
             counts.append(("bad", offering, row[INVOCATIONS], row[BAD]))
             counts.append(("further", offering, row[INVOCATIONS], min(row[EXTRA_PUSHES], row[INVOCATIONS])))
-        for tenant, row in list(step.tenants.items())[:MAX_TENANTS]:
+        for tenant, row in list(increase.tenants.items())[:MAX_TENANTS]:
             counts.append(("bad", f"tenant {tenant}", row[INVOCATIONS], row[BAD]))
         for offering, limit in self.slow_limits.items() if slow else ():
-            latencies = step.latencies.get(offering, {})
+            latencies = increase.latencies.get(offering, {})
             counts.append(("slow", offering, sum(latencies.values()),
                            sum(count for bound, count in latencies.items() if bound > limit)))  # fmt: skip
         return counts
@@ -460,16 +462,16 @@
         An incident affects nodes unequally, so windows during it do not count. Only earlier windows decide
         that: selecting a window by its own contents would bias the test.
         """
-        calm = now >= self.incident_until.get(key, -math.inf)
+        no_incident = now >= self.incident_until.get(key, -math.inf)
         factor, extra_share = INCIDENT_THRESHOLDS
-        step = (window.counts[0], window.hits[0], window.baseline_hits[0])
+        old_side = (window.counts[0], window.hits[0], window.baseline_hits[0])
         recent = self.recent_old.get(key, [0.0, 0.0, 0.0])
         count, hits, baseline_hits = self.recent_old[key] = [
-            RECENT_DECAY * a + b for a, b in zip(recent, step, strict=True)
+            RECENT_DECAY * a + b for a, b in zip(recent, old_side, strict=True)
         ]
         if hits > factor * baseline_hits + extra_share * count and count >= MIN_RECENT_INVOCATIONS:
             self.incident_until[key] = now + INCIDENT_COOLDOWN_SECONDS
-        if calm:
+        if no_incident:
             kind = key.partition(" ")[0]
             self._record_difference(key, window.share_difference())
             self.tests[key].observe(window, window.tolerated_odds_ratio(getattr(self.tolerances, kind)))
