--- a/thornladder/rig/faults.py
+++ b/thornladder/rig/faults.py
@@ -46,10 +46,12 @@
 
     @property
     def is_link_fault(self) -> bool:
+        """Whether it applies to links between nodes rather than to nodes."""
         return self.kind in LINK_KINDS
 
     @property
     def ends_at(self) -> float:
+        """When the fault is over; equal to `at` for kill, end and start."""
         return self.at + self.lasts
 
     def affects(self, source: str, target: str) -> bool:
--- a/thornladder/rig/flawed.py
+++ b/thornladder/rig/flawed.py
@@ -40,6 +40,7 @@
         self.leaked_blocks: list[bytearray] = []
 
     def admin_endpoints(self) -> Mapping[str, ExtensionEndpoint]:
+        """Serves none."""
         return {}
 
     def wrap(
@@ -55,6 +56,7 @@
         return self, shed_policy
 
     def start(self, context: NodeContext) -> None:
+        """Starts the task for the faults `after` and `leak`."""
         context.tasks.start("a planted fault", self._run)
 
     async def stop(self, has_successor: bool) -> None:
--- a/thornladder/rig/play.py
+++ b/thornladder/rig/play.py
@@ -109,6 +109,7 @@
 
     @property
     def node_names(self) -> list[str]:
+        """Names of the nodes in the order of their numbers: n00, n01 and so on."""
         return [f"n{number:02}" for number in range(self.nodes)]
 
     @property
@@ -198,6 +199,7 @@
         return time.monotonic() - self.started_at
 
     def report_progress(self, line: str) -> None:
+        """Passes a line to the `progress` callback, if there is one."""
         if self.progress:
             self.progress(line)
 
--- a/thornladder/rig/processes.py
+++ b/thornladder/rig/processes.py
@@ -40,6 +40,7 @@
 
     @property
     def log_path(self) -> Path:
+        """File with the output of all processes of the node."""
         return self.folder / "log"
 
     def start(self) -> None:
--- a/thornladder/rig/standins.py
+++ b/thornladder/rig/standins.py
@@ -36,6 +36,7 @@
     effects: dict[str, list[tuple[float, str, str]]] = field(default_factory=dict)  # at, offering, backend
 
     def record(self, id: str, at: float, offering: str, backend: str) -> None:
+        """Adds an effect of the invocation `id`; `at` is in seconds of the scenario."""
         self.effects.setdefault(id, []).append((at, offering, backend))
 
     def repeated(self, offerings: set[str]) -> list[str]:
