--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -100,7 +100,7 @@
 def test_no_push_to_a_leaving_backend_in_series_of_failed_polls(seed: int) -> None:
     """8, 28, 121, 149: with a pushed list, a process that started while discovery was down took a refusal as
     proof that nothing had changed before its start."""
-    assert check_schedule(seed, failing=True).first == ""
+    assert check_schedule(seed, failing=True).first_breach == ""
 
 
 def test_a_refusal_that_counts_as_an_answer_is_detected() -> None:
@@ -116,7 +116,7 @@
     a silence. 1212, 1977: with a pushed list, invalid responses counted as proof that nothing had changed.
     456, 569: with a pushed list, discovery went down between two polls.
     """
-    assert check_schedule(seed).first == ""
+    assert check_schedule(seed).first_breach == ""
 
 
 @pytest.mark.parametrize(
