--- a/thornladder/measures/cold.py
+++ b/thornladder/measures/cold.py
@@ -2,9 +2,9 @@
 
 Runs random slow-start ramps in virtual time with the real module, one instance for each process and nothing
 shared between them (`rig/cold.py`), with 1 to 200 processes. Scenarios include the loss of most warm
-backends, uneven traffic and costs, one moment in which all processes learn of the backend, restarts during the
-ramp, and two processes on a node. No window may hold more than N + 2 sqrt(N) + 2 calls, where N is the allowed
-number.
+backends, uneven traffic and costs, one moment in which all processes learn of the backend, restarts during
+the ramp, and two processes on a node. No window may hold more than N + 2 sqrt(N) + 2 calls, where N is the
+allowed number.
 """
 
 from __future__ import annotations
