--- a/thornladder/cli.py
+++ b/thornladder/cli.py
@@ -67,7 +67,7 @@
     address: Annotated[str, typer.Argument(help="The admin address of a node, HOST:PORT.")],
     as_json: Annotated[bool, typer.Option("--json", help="Print the node's answer as JSON.")] = False,
 ) -> None:
-    """Print the members of the fleet as one node sees them. Exit code 1 if that node gives no usable answer."""
+    """Print the members of the fleet as one node sees them. Exit code 1 if its answer is unusable."""
     try:
         view = fetch(address, "/members")
     except (OSError, ValueError) as error:
