--- a/thornladder/measures/__init__.py
+++ b/thornladder/measures/__init__.py
@@ -1,1 +1,1 @@
-"""What is promised, measured: each module prints one JSON object as its last line."""
+"""Measurements of what the documentation promises. Each module prints one JSON object as its last line."""
--- a/thornladder/measures/budgets.py
+++ b/thornladder/measures/budgets.py
@@ -103,6 +103,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the measurement and prints its points; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--full", action="store_true")
     parser.add_argument("--jobs", type=int, default=6)
--- a/thornladder/measures/cold.py
+++ b/thornladder/measures/cold.py
@@ -79,6 +79,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the measurement and prints its points; returns the exit code."""
     parser = argparse.ArgumentParser(prog="measure-cold", description=__doc__)
     parser.add_argument("--full", action="store_true", help="200 ramps of each scenario instead of 20")
     count = 200 if parser.parse_args(arguments).full else 20
--- a/thornladder/measures/membership.py
+++ b/thornladder/measures/membership.py
@@ -390,6 +390,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the measurement and prints its points; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--full", action="store_true", help="all seeds, and 24 h in place of 1 h")
     parser.add_argument("--jobs", type=int, default=6)
--- a/thornladder/measures/rollout.py
+++ b/thornladder/measures/rollout.py
@@ -384,6 +384,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the measurement and prints its points; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--full", action="store_true")
     parser.add_argument("--jobs", type=int, default=4)
--- a/thornladder/measures/told.py
+++ b/thornladder/measures/told.py
@@ -293,6 +293,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Runs the measurement and prints its points; returns the exit code."""
     parser = argparse.ArgumentParser(prog="measure-told", description=__doc__)
     parser.add_argument("--full", action="store_true", help="2,000 schedules, and 400 with each fault")
     options = parser.parse_args(arguments)
