--- a/thornladder/rollout/judge.py
+++ b/thornladder/rollout/judge.py
@@ -436,7 +436,7 @@
         return increases
 
     def _counts(self, increase: CounterTotals, slow: bool = True) -> list[tuple[str, str, float, float]]:
-        """For each share metric: its kind, its offering or `tenant NAME`, the number of events and of hits."""
+        """For each share metric: kind, offering or `tenant NAME`, number of events, number of hits."""
         counts: list[tuple[str, str, float, float]] = []
         for offering, row in list(increase.offerings.items())[:MAX_OFFERINGS]:
             counts.append(("bad", offering, row[INVOCATIONS], row[BAD]))
