--- a/thornladder/node/service.py
+++ b/thornladder/node/service.py
@@ -86,9 +86,17 @@
             max_connections - max_clients, transport.backend_idle_timeout, transport.connect_timeout, clock
         )
         body_budget = BodyBudget(max(config.memory // BODY_MEMORY_DIVISOR, 2**20))
-        reports = config.decisions["limits"].probes_per_invocation > 0.0
+        request_load_reports = config.decisions["limits"].probes_per_invocation > 0.0
         pushes = PushDispatcher(
-            pool, transport.drain_grace, transport.soft_removal, body_budget, tasks, host, clock, log, reports
+            pool,
+            transport.drain_grace,
+            transport.soft_removal,
+            body_budget,
+            tasks,
+            host,
+            clock,
+            log,
+            request_load_reports,
         )
         watch = Watch(
             config.discovery,
