--- a/Makefile
+++ b/Makefile
@@ -21,6 +21,7 @@
 
 lint: .venv-dev/done
 	.venv-dev/bin/ruff check .
+	.venv-dev/bin/ruff format --check .
 
 # EDGE_CONFIG names the node's file.
 run: build
